--- a/src/coordination/agreement.cpp
+++ b/src/coordination/agreement.cpp
@@ -10,11 +10,16 @@
 
 using Type = RaftMessage::Type;
 
-Agreement::Agreement(Durable durable, AgreementOptions options, std::vector<std::string> contacts, Moment now)
-    : durable_(std::move(durable)), options_(std::move(options)), contacts_(std::move(contacts)), draw_(options_.draw) {
+Agreement::Agreement(Durable durable, AgreementOptions options, std::vector<std::string> contacts,
+                     Moment now)
+    : durable_(std::move(durable)),
+      options_(std::move(options)),
+      contacts_(std::move(contacts)),
+      draw_(options_.draw) {
   serial_ = entry_serial_ = 1;  // what was loaded or founded is saved before anything else leaves
   set_election(now);
-  if (!is_voter(durable_.self)) election_ = now;  // a newcomer asks at once
+  if (!is_voter(durable_.self))
+    election_ = now;  // a newcomer asks at once
   due_ = now;
 }
 
@@ -35,7 +40,8 @@
 
 bool Agreement::is_voter(const Entry& entry, MemberId id) {
   const auto is_in = [&](const std::vector<Member>& members) {
-    return std::any_of(members.begin(), members.end(), [&](const Member& member) { return member.id == id; });
+    return std::any_of(members.begin(), members.end(),
+                       [&](const Member& member) { return member.id == id; });
   };
   return is_in(entry.members) || is_in(entry.former);
 }
@@ -43,12 +49,15 @@
 std::vector<Member> Agreement::voters() const {
   std::vector<Member> all = durable_.entry->members;
   for (const Member& member : durable_.entry->former)
-    if (std::none_of(all.begin(), all.end(), [&](const Member& one) { return one.id == member.id; })) all.push_back(member);
+    if (std::none_of(all.begin(), all.end(),
+                     [&](const Member& one) { return one.id == member.id; }))
+      all.push_back(member);
   return all;
 }
 
 bool Agreement::is_newer_or_same(const RaftMessage& message) const {
-  return std::pair(message.entry_term, message.entry_index) >= std::pair(durable_.entry->term, durable_.entry->index);
+  return std::pair(message.entry_term, message.entry_index) >=
+         std::pair(durable_.entry->term, durable_.entry->index);
 }
 
 void Agreement::change_term(Term term, MemberId vote) {
@@ -58,17 +67,23 @@
 }
 
 void Agreement::set_election(Moment now) {
-  // Without a leader to wait for, an attempt costs nothing: the vote before the vote disturbs nobody.
-  // Attempts that led nowhere wait longer: votes may take long on their way.
-  const Span least = leader_.empty() ? std::min(options_.election, options_.beat / 2 * (1 << std::min(attempts_, 4))) : options_.election;
-  const auto extra = static_cast<std::int64_t>(draw_() % static_cast<std::uint64_t>(std::max(least, options_.beat * 2).count()));
+  // Without a leader to wait for, an attempt costs nothing: the vote before the vote disturbs
+  // nobody. Attempts that led nowhere wait longer: votes may take long on their way.
+  const Span least = leader_.empty() ? std::min(options_.election,
+                                                options_.beat / 2 * (1 << std::min(attempts_, 4)))
+                                     : options_.election;
+  const auto extra = static_cast<std::int64_t>(
+      draw_() % static_cast<std::uint64_t>(std::max(least, options_.beat * 2).count()));
   election_ = now + least + Span(extra);
 }
 
 void Agreement::fail_all() {
-  for (const std::uint64_t token : attached_) results_.push_back({token, Verdict::failed, nullptr});
-  for (const Waiting& waiting : waiting_) results_.push_back({waiting.token, Verdict::failed, nullptr});
-  for (const Read& read : reads_) results_.push_back({read.token, Verdict::failed, nullptr});
+  for (const std::uint64_t token : attached_)
+    results_.push_back({token, Verdict::failed, nullptr});
+  for (const Waiting& waiting : waiting_)
+    results_.push_back({waiting.token, Verdict::failed, nullptr});
+  for (const Read& read : reads_)
+    results_.push_back({read.token, Verdict::failed, nullptr});
   attached_.clear();
   waiting_.clear();
   reads_.clear();
@@ -90,7 +105,8 @@
     leader_id_ = {};
     leader_.clear();
   }
-  if (role_ != Role::follower) set_election(now);
+  if (role_ != Role::follower)
+    set_election(now);
   role_ = Role::follower;
 }
 
@@ -131,9 +147,12 @@
     const auto vote = votes_.find(id);
     return vote != votes_.end() && vote->second;
   };
-  if (!is_quorum(is_granted)) return;
-  if (role_ == Role::pre_candidate) start_candidate(false, now);
-  else if (role_ == Role::candidate) start_leader(now);
+  if (!is_quorum(is_granted))
+    return;
+  if (role_ == Role::pre_candidate)
+    start_candidate(false, now);
+  else if (role_ == Role::candidate)
+    start_leader(now);
 }
 
 void Agreement::start_leader(Moment now) {
@@ -148,7 +167,8 @@
   contents_.clear();
   keep_content();
   // The leader before is silent since it was heard last, not since this one leads.
-  if (heard_leader_ != Moment{} && is_voter(former_leader_) && former_leader_ != durable_.self) peers_[former_leader_].heard = heard_leader_;
+  if (heard_leader_ != Moment{} && is_voter(former_leader_) && former_leader_ != durable_.self)
+    peers_[former_leader_].heard = heard_leader_;
   start_entry(durable_.entry->members, durable_.entry->former, now);
 }
 
@@ -157,14 +177,16 @@
   entry_serial_ = ++serial_;
 }
 
-// Proposes the present state under a new index, with the newest waiting configuration and these members.
+// Proposes the present state under a new index, with the newest waiting configuration and these
+// members.
 void Agreement::start_entry(std::vector<Member> members, std::vector<Member> former, Moment now) {
   auto entry = std::make_shared<Entry>(*durable_.entry);
   entry->term = durable_.term;
   entry->index.value = durable_.entry->index.value + 1;
   entry->members = std::move(members);
   entry->former = std::move(former);
-  if (!entry->core_size) entry->core_size = std::max(options_.voters, static_cast<std::uint32_t>(entry->members.size()));
+  if (!entry->core_size)
+    entry->core_size = std::max(options_.voters, static_cast<std::uint32_t>(entry->members.size()));
   for (Waiting& waiting : waiting_) {
     if (!waiting.sheet.empty()) {
       entry->sheets[waiting.sheet] = std::move(waiting.text);
@@ -180,51 +202,66 @@
   set_entry(std::move(entry));
   is_under_way_ = true;
   started_[durable_.entry->index] = now;
-  while (started_.size() > 256) started_.erase(started_.begin());
+  while (started_.size() > 256)
+    started_.erase(started_.begin());
   keep_content();
   std::map<MemberId, Peer> kept;
   for (const Member& member : voters()) {
-    if (member.id == durable_.self) continue;
+    if (member.id == durable_.self)
+      continue;
     const auto found = peers_.find(member.id);
     Peer& peer = kept[member.id];
-    if (found != peers_.end()) peer = std::move(found->second);
-    else peer.heard = now;
+    if (found != peers_.end())
+      peer = std::move(found->second);
+    else
+      peer.heard = now;
     peer.address = member.address;
     learners_.erase(member.id);
   }
   for (const auto& [id, heard] : learners_)
-    if (const auto found = peers_.find(id); found != peers_.end() && !kept.contains(id)) kept[id] = std::move(found->second);
+    if (const auto found = peers_.find(id); found != peers_.end() && !kept.contains(id))
+      kept[id] = std::move(found->second);
   peers_ = std::move(kept);
   broadcast(now, false);
   check_commit(now);
 }
 
 void Agreement::start_waiting(Moment now) {
-  if (role_ != Role::leader || is_under_way_ || waiting_.empty()) return;
-  const bool is_newer = std::any_of(waiting_.begin(), waiting_.end(),
-                                    [&](const Waiting& waiting) { return !waiting.sheet.empty() || waiting.version > durable_.entry->version; });
-  if (is_newer) return start_entry(durable_.entry->members, durable_.entry->former, now);
-  for (const Waiting& waiting : waiting_) results_.push_back({waiting.token, Verdict::done, nullptr});
+  if (role_ != Role::leader || is_under_way_ || waiting_.empty())
+    return;
+  const bool is_newer = std::any_of(waiting_.begin(), waiting_.end(), [&](const Waiting& waiting) {
+    return !waiting.sheet.empty() || waiting.version > durable_.entry->version;
+  });
+  if (is_newer)
+    return start_entry(durable_.entry->members, durable_.entry->former, now);
+  for (const Waiting& waiting : waiting_)
+    results_.push_back({waiting.token, Verdict::done, nullptr});
   waiting_.clear();
 }
 
 void Agreement::check_commit(Moment now) {
-  if (role_ != Role::leader || !is_under_way_) return;
+  if (role_ != Role::leader || !is_under_way_)
+    return;
   const Index newest = durable_.entry->index;
   const bool is_held = is_quorum([&](MemberId id) {
-    if (id == durable_.self) return saved_ >= entry_serial_;
+    if (id == durable_.self)
+      return saved_ >= entry_serial_;
     const auto peer = peers_.find(id);
     return peer != peers_.end() && peer->second.matched == newest;
   });
-  if (!is_held) return;
+  if (!is_held)
+    return;
   is_under_way_ = false;
   committed_ = durable_.entry;
-  for (const std::uint64_t token : attached_) results_.push_back({token, Verdict::done, nullptr});
+  for (const std::uint64_t token : attached_)
+    results_.push_back({token, Verdict::done, nullptr});
   attached_.clear();
   broadcast(now, true);
   // A joint entry is followed by one of the new members alone; nothing is waited for in between.
-  if (!committed_->former.empty()) return start_entry(committed_->members, {}, now);
-  if (!is_voter(durable_.self)) return transfer(now);
+  if (!committed_->former.empty())
+    return start_entry(committed_->members, {}, now);
+  if (!is_voter(durable_.self))
+    return transfer(now);
   // Members change also while one change of the configuration follows another.
   tend_members(now);
   start_waiting(now);
@@ -232,62 +269,77 @@
 
 bool Agreement::hears_quorum(Moment since) const {
   return is_quorum([&](MemberId id) {
-    if (id == durable_.self) return true;
+    if (id == durable_.self)
+      return true;
     const auto peer = peers_.find(id);
     return peer != peers_.end() && peer->second.heard >= since;
   });
 }
 
 bool Agreement::is_confirmed(Moment now) const {
-  if (!committed_) return false;
-  if (role_ == Role::leader) return hears_quorum(now - options_.election) && committed_->term == durable_.term;
+  if (!committed_)
+    return false;
+  if (role_ == Role::leader)
+    return hears_quorum(now - options_.election) && committed_->term == durable_.term;
   return !leader_.empty() && now - heard_confirmed_ < options_.election;
 }
 
 Moment Agreement::lease_until() const {
-  if (role_ != Role::leader || !committed_ || committed_->term != durable_.term) return {};
+  if (role_ != Role::leader || !committed_ || committed_->term != durable_.term)
+    return {};
   const auto until = [&](const std::vector<Member>& members) {
-    std::vector<Moment> answered;  // when the beats left that members answered last, the newest first
+    std::vector<Moment>
+        answered;  // when the beats left that members answered last, the newest first
     for (const Member& member : members) {
       const auto peer = peers_.find(member.id);
-      if (member.id == durable_.self) answered.push_back(Moment::max() - options_.election);
-      else if (peer != peers_.end() && peer->second.leased != Moment{}) answered.push_back(peer->second.leased);
+      if (member.id == durable_.self)
+        answered.push_back(Moment::max() - options_.election);
+      else if (peer != peers_.end() && peer->second.leased != Moment{})
+        answered.push_back(peer->second.leased);
     }
     std::sort(answered.begin(), answered.end(), std::greater<>());
-    return answered.size() <= members.size() / 2 ? Moment{} : answered[members.size() / 2] + options_.election;
+    return answered.size() <= members.size() / 2 ? Moment{}
+                                                 : answered[members.size() / 2] + options_.election;
   };
   const Entry& entry = *durable_.entry;
-  return entry.former.empty() ? until(entry.members) : std::min(until(entry.members), until(entry.former));
+  return entry.former.empty() ? until(entry.members)
+                              : std::min(until(entry.members), until(entry.former));
 }
 
 void Agreement::propose(Version version, std::string body, std::uint64_t token, Moment now) {
-  if (role_ != Role::leader) return results_.push_back({token, Verdict::failed, nullptr});
+  if (role_ != Role::leader)
+    return results_.push_back({token, Verdict::failed, nullptr});
   waiting_.push_back({version, std::move(body), token, {}, {}});
   start_waiting(now);
 }
 
 void Agreement::propose_sheet(std::string name, std::string text, std::uint64_t token, Moment now) {
-  if (role_ != Role::leader) return results_.push_back({token, Verdict::failed, nullptr});
+  if (role_ != Role::leader)
+    return results_.push_back({token, Verdict::failed, nullptr});
   waiting_.push_back({{}, {}, token, std::move(name), std::move(text)});
   start_waiting(now);
 }
 
 void Agreement::confirm_read(std::uint64_t token, Moment now) {
-  if (role_ != Role::leader) return results_.push_back({token, Verdict::failed, nullptr});
+  if (role_ != Role::leader)
+    return results_.push_back({token, Verdict::failed, nullptr});
   reads_.push_back({token, round_ + 1});
   broadcast(now, true);
   check_reads();
 }
 
 void Agreement::check_reads() {
-  if (role_ != Role::leader || !committed_ || committed_->term != durable_.term) return;
+  if (role_ != Role::leader || !committed_ || committed_->term != durable_.term)
+    return;
   std::erase_if(reads_, [&](const Read& read) {
     const bool is_answered = is_quorum([&](MemberId id) {
-      if (id == durable_.self) return true;
+      if (id == durable_.self)
+        return true;
       const auto peer = peers_.find(id);
       return peer != peers_.end() && peer->second.round >= read.round;
     });
-    if (!is_answered) return false;
+    if (!is_answered)
+      return false;
     results_.push_back({read.token, Verdict::done, committed_});
     return true;
   });
@@ -295,12 +347,19 @@
 
 // Gives the lead to the voter that holds most, at once.
 void Agreement::transfer(Moment now) {
-  if (role_ != Role::leader) return;
+  if (role_ != Role::leader)
+    return;
   const Peer* heir = nullptr;
-  const auto rank = [&](const Peer& peer) { return std::tuple(now - peer.leaving > options_.election, now - peer.heard < options_.election, peer.matched, peer.heard); };
+  const auto rank = [&](const Peer& peer) {
+    return std::tuple(now - peer.leaving > options_.election, now - peer.heard < options_.election,
+                      peer.matched, peer.heard);
+  };
   for (const Member& member : durable_.entry->members)
-    if (const auto found = peers_.find(member.id); found != peers_.end() && (!heir || rank(found->second) > rank(*heir))) heir = &found->second;
-  if (heir) send(heir->address, make(Type::transfer), false);
+    if (const auto found = peers_.find(member.id);
+        found != peers_.end() && (!heir || rank(found->second) > rank(*heir)))
+      heir = &found->second;
+  if (heir)
+    send(heir->address, make(Type::transfer), false);
   follow(durable_.term, now);
   election_ = now + options_.election * 3;
 }
@@ -308,18 +367,23 @@
 void Agreement::tick(Moment now) {
   const bool is_stuck = save_started_ && now - *save_started_ > options_.stuck;
   if (role_ == Role::leader) {
-    if (is_stuck) transfer(now);
-    else if (!hears_quorum(now - options_.election * 2)) follow(durable_.term, now);
+    if (is_stuck)
+      transfer(now);
+    else if (!hears_quorum(now - options_.election * 2))
+      follow(durable_.term, now);
   }
   tend_leaving(now);
   if (role_ == Role::leader) {
     tend_members(now);
-    if (now >= beat_due_) broadcast(now, true);
+    if (now >= beat_due_)
+      broadcast(now, true);
     due_ = beat_due_;
     return;
   }
-  // If nobody leads that it could learn from, whoever was told so tries again: the vote before the vote disturbs no leader.
-  if (is_removed_ && now - removed_at_ > options_.election * 4) is_removed_ = false;
+  // If nobody leads that it could learn from, whoever was told so tries again: the vote before the
+  // vote disturbs no leader.
+  if (is_removed_ && now - removed_at_ > options_.election * 4)
+    is_removed_ = false;
   const bool may_lead = is_voter(durable_.self) && !is_removed_ && !leaving_since_;
   if (now >= election_) {
     if (may_lead && !is_stuck) {
@@ -329,10 +393,13 @@
     }
   }
   due_ = election_;
-  if (may_lead || leaving_since_) return;
+  if (may_lead || leaving_since_)
+    return;
   // A learner is known to its leader alone: the next one hears of it as soon as it leads.
-  const Moment ask_due = std::max(heard_leader_ + options_.beat * 3, join_asked_ + options_.beat * 2);
-  if (now >= ask_due) ask_to_join(now);
+  const Moment ask_due =
+      std::max(heard_leader_ + options_.beat * 3, join_asked_ + options_.beat * 2);
+  if (now >= ask_due)
+    ask_to_join(now);
   due_ = std::min(due_, now >= ask_due ? now + options_.beat * 2 : ask_due);
 }
 
@@ -341,7 +408,8 @@
   is_save_failing_ = !is_saved;
   if (!is_saved) {
     save_retry_ = now + 300ms;
-    if (role_ == Role::leader) transfer(now);
+    if (role_ == Role::leader)
+      transfer(now);
     return;
   }
   saved_ = std::max(saved_, serial);
@@ -359,7 +427,8 @@
     output.save = Save{serial_, durable_};
   }
   std::erase_if(held_, [&](Held& held) {
-    if (held.need > saved_) return held.outgoing.message.term < durable_.term;  // a stale promise is worth nothing
+    if (held.need > saved_)
+      return held.outgoing.message.term < durable_.term;  // a stale promise is worth nothing
     output.messages.push_back(std::move(held.outgoing));
     return true;
   });
@@ -370,11 +439,14 @@
 std::vector<std::string> Agreement::known_addresses() const {
   std::vector<std::string> addresses;
   const auto add = [&](const std::string& address) {
-    if (address != options_.address && std::find(addresses.begin(), addresses.end(), address) == addresses.end())
+    if (address != options_.address &&
+        std::find(addresses.begin(), addresses.end(), address) == addresses.end())
       addresses.push_back(address);
   };
-  for (const Member& member : voters()) add(member.address);
-  for (const std::string& contact : contacts_) add(contact);
+  for (const Member& member : voters())
+    add(member.address);
+  for (const std::string& contact : contacts_)
+    add(contact);
   return addresses;
 }
 
--- a/src/coordination/agreement_append.cpp
+++ b/src/coordination/agreement_append.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr std::size_t most_kept = 4;                  // entries whose content is kept
-constexpr std::size_t most_kept_bytes = 24u << 20;    // of those beyond the last two
+constexpr std::size_t most_kept = 4;                // entries whose content is kept
+constexpr std::size_t most_kept_bytes = 24u << 20;  // of those beyond the last two
 constexpr std::size_t most_window = 64 * piece_bytes;
-constexpr std::size_t sent_unasked = piece_bytes;     // to one that has not said yet what it holds
+constexpr std::size_t sent_unasked = piece_bytes;  // to one that has not said yet what it holds
 
 }  // namespace
 
@@ -21,13 +21,17 @@
   changes_.clear();
   // What is on its way to somebody stays: the next change builds on it there.
   const auto is_on_its_way = [&](const EntryContentSnapshot& content) {
-    return std::any_of(peers_.begin(), peers_.end(), [&](const auto& peer) { return peer.second.change && peer.second.change->head.index == content->entry->index; });
+    return std::any_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
+      return peer.second.change && peer.second.change->head.index == content->entry->index;
+    });
   };
   std::size_t bytes = 0, count = 0;
   for (auto place = contents_.rbegin(); place != contents_.rend(); ++place) {
-    if (++count > 1 && is_on_its_way(*place)) continue;
+    if (++count > 1 && is_on_its_way(*place))
+      continue;
     bytes += (*place)->size();
-    if (count > most_kept || (count > 2 && bytes > most_kept_bytes)) *place = nullptr;
+    if (count > most_kept || (count > 2 && bytes > most_kept_bytes))
+      *place = nullptr;
   }
   std::erase(contents_, nullptr);
 }
@@ -36,14 +40,16 @@
 EntryChangeSnapshot Agreement::change_for(const Peer& peer) {
   const EntryContent* base = nullptr;
   for (const EntryContentSnapshot& content : contents_)
-    if (!peer.should_send_whole && peer.has_told && content->entry->index.value && content->entry->term == peer.held_term &&
-        content->entry->index == peer.held_index)
+    if (!peer.should_send_whole && peer.has_told && content->entry->index.value &&
+        content->entry->term == peer.held_term && content->entry->index == peer.held_index)
       base = content.get();
   const Term base_term = base ? base->entry->term : Term{};
   const Index base_index = base ? base->entry->index : Index{};
   for (const Change& made : changes_)
-    if (made.base_term == base_term && made.base_index == base_index) return made.change;
-  changes_.push_back({base_term, base_index, durable_.entry->index, make_change(*contents_.back(), base)});
+    if (made.base_term == base_term && made.base_index == base_index)
+      return made.change;
+  changes_.push_back(
+      {base_term, base_index, durable_.entry->index, make_change(*contents_.back(), base)});
   return changes_.back().change;
 }
 
@@ -51,9 +57,11 @@
   if (is_beat) {
     beat_due_ = now + options_.beat;
     round_sent_[++round_] = now;
-    while (round_sent_.size() > 64) round_sent_.erase(round_sent_.begin());
+    while (round_sent_.size() > 64)
+      round_sent_.erase(round_sent_.begin());
   }
-  for (auto& [id, peer] : peers_) send_append(peer, now, is_beat);
+  for (auto& [id, peer] : peers_)
+    send_append(peer, now, is_beat);
 }
 
 void Agreement::send_append(Peer& peer, Moment now, bool is_beat) {
@@ -61,20 +69,27 @@
     RaftMessage message = make(Type::append);
     message.round = round_;
     message.is_confirmed = is_confirmed(now);
-    if (committed_ && committed_->term == durable_.term) message.commit = committed_->index;
+    if (committed_ && committed_->term == durable_.term)
+      message.commit = committed_->index;
     send(peer.address, std::move(message), false);
   }
   send_pieces(peer, now);
 }
 
-// Invariant: one change at a time is on its way to a peer; it is ended also when newer entries came meanwhile, so that one
-// that lags always gets on.
+// Invariant: one change at a time is on its way to a peer; it is ended also when newer entries came
+// meanwhile, so that one that lags always gets on.
 void Agreement::send_pieces(Peer& peer, Moment now) {
-  const auto holds = [&](Term term, Index index) { return peer.has_told && std::pair(peer.held_term, peer.held_index) >= std::pair(term, index); };
-  if (peer.change && (peer.change->head.term != durable_.term || holds(peer.change->head.term, peer.change->head.index))) peer.change = nullptr;
-  if (holds(durable_.entry->term, durable_.entry->index)) return;
+  const auto holds = [&](Term term, Index index) {
+    return peer.has_told && std::pair(peer.held_term, peer.held_index) >= std::pair(term, index);
+  };
+  if (peer.change && (peer.change->head.term != durable_.term ||
+                      holds(peer.change->head.term, peer.change->head.index)))
+    peer.change = nullptr;
+  if (holds(durable_.entry->term, durable_.entry->index))
+    return;
   if (!peer.change) {
-    if (!peer.has_told && contents_.back()->size() > sent_unasked) return;  // its first answer tells
+    if (!peer.has_told && contents_.back()->size() > sent_unasked)
+      return;  // its first answer tells
     peer.change = change_for(peer);
     peer.sent = peer.answered = peer.told = 0;
   } else if (now - peer.sent_at > options_.beat * 3) {  // lost, or on a way that holds less
@@ -84,7 +99,8 @@
   while (peer.sent < peer.change->bytes.size() && peer.sent - peer.answered < peer.window) {
     RaftMessage message = make(Type::append);
     message.piece = peer.change->piece(peer.sent);
-    if (committed_ && committed_->term == durable_.term) message.commit = committed_->index;
+    if (committed_ && committed_->term == durable_.term)
+      message.commit = committed_->index;
     peer.sent += message.piece->bytes.size();
     peer.sent_at = now;
     send(peer.address, std::move(message), false);
@@ -96,22 +112,28 @@
     send(message.address, make(Type::appended), true);
     return;
   }
-  if (message.term > durable_.term || role_ != Role::follower) follow(message.term, now);
+  if (message.term > durable_.term || role_ != Role::follower)
+    follow(message.term, now);
   leader_id_ = former_leader_ = message.from;
   leader_ = message.address;
   heard_leader_ = now;
   leader_last_ = message.entry_index;
-  if (message.is_confirmed) heard_confirmed_ = now;
+  if (message.is_confirmed)
+    heard_confirmed_ = now;
   attempts_ = 0;
   is_removed_ = false;
   set_election(now);
   bool is_new = false, wants_whole = false;
   if (message.piece) {
     const EntryPiece& piece = *message.piece;
-    const bool is_wanted = std::pair(piece.term, piece.index) > std::pair(durable_.entry->term, durable_.entry->index);
+    const bool is_wanted =
+        std::pair(piece.term, piece.index) > std::pair(durable_.entry->term, durable_.entry->index);
     EntrySnapshot entry;
-    // A leader's entries are of its own term, so a greater one replaces ours and a smaller one comes late.
-    const auto step = is_wanted && piece.term == message.term ? assembly_.take(piece, durable_.entry, entry) : EntryAssembly::Step::more;
+    // A leader's entries are of its own term, so a greater one replaces ours and a smaller one
+    // comes late.
+    const auto step = is_wanted && piece.term == message.term
+                          ? assembly_.take(piece, durable_.entry, entry)
+                          : EntryAssembly::Step::more;
     if (step == EntryAssembly::Step::whole) {
       set_entry(std::move(entry));
       is_new = true;
@@ -119,7 +141,8 @@
     wants_whole = step == EntryAssembly::Step::unusable;
   }
   // What this leader sent in its term and committed since is committed here, too.
-  if (durable_.entry->term == message.term && durable_.entry->index <= message.commit) committed_ = durable_.entry;
+  if (durable_.entry->term == message.term && durable_.entry->index <= message.commit)
+    committed_ = durable_.entry;
   RaftMessage reply = make(Type::appended);
   reply.round = message.round;
   reply.piece_index = assembly_.index();
@@ -137,10 +160,12 @@
 
 void Agreement::note_progress(Peer& peer, const RaftMessage& message, Moment now) {
   const auto told = std::pair(message.entry_term, message.entry_index);
-  // What it held and had not synced is gone with its process: by the newest beat that it answered it may hold less than it said.
+  // What it held and had not synced is gone with its process: by the newest beat that it answered
+  // it may hold less than it said.
   const bool is_newest = message.round > peer.told_round;
   peer.told_round = std::max(peer.told_round, message.round);
-  if (message.wants_whole) {  // what it holds is not what it held, or the base here is not the one there
+  if (message.wants_whole) {  // what it holds is not what it held, or the base here is not the one
+                              // there
     peer.should_send_whole = peer.has_told && told == std::pair(peer.held_term, peer.held_index);
     peer.change = nullptr;
     peer.held_term = message.entry_term;
@@ -151,28 +176,41 @@
     peer.should_send_whole = false;
   }
   peer.has_told = true;
-  if (message.is_granted && message.entry_term == durable_.term) peer.matched = std::max(peer.matched, message.entry_index);
-  peer.told = peer.change && message.piece_index == peer.change->head.index ? std::min(message.piece_end, peer.sent) : 0;
-  if (!peer.change || message.piece_index != peer.change->head.index || message.piece_end <= peer.answered || message.piece_end > peer.sent) return;
+  if (message.is_granted && message.entry_term == durable_.term)
+    peer.matched = std::max(peer.matched, message.entry_index);
+  peer.told = peer.change && message.piece_index == peer.change->head.index
+                  ? std::min(message.piece_end, peer.sent)
+                  : 0;
+  if (!peer.change || message.piece_index != peer.change->head.index ||
+      message.piece_end <= peer.answered || message.piece_end > peer.sent)
+    return;
   peer.answered = message.piece_end;
   // A way that answers within a beat may hold more; beats must not wait behind what it holds.
-  if (now - peer.sent_at < options_.beat) peer.window = std::min(most_window, peer.window + piece_bytes);
-  else peer.window = std::max(piece_bytes, peer.window / 2);
+  if (now - peer.sent_at < options_.beat)
+    peer.window = std::min(most_window, peer.window + piece_bytes);
+  else
+    peer.window = std::max(piece_bytes, peer.window / 2);
 }
 
 void Agreement::take_appended(const RaftMessage& message, Moment now) {
-  if (message.term > durable_.term) return follow(message.term, now);
-  if (role_ != Role::leader || message.term < durable_.term) return;
+  if (message.term > durable_.term)
+    return follow(message.term, now);
+  if (role_ != Role::leader || message.term < durable_.term)
+    return;
   const auto found = peers_.find(message.from);
-  // At a member's address somebody else answers: it lost its disk, and what it sent to join may be lost too.
-  if (found == peers_.end()) return take_join(message, now);
+  // At a member's address somebody else answers: it lost its disk, and what it sent to join may be
+  // lost too.
+  if (found == peers_.end())
+    return take_join(message, now);
   Peer& peer = found->second;
   peer.heard = now;
   if (message.round > peer.round) {
     peer.round = message.round;
-    if (const auto sent = round_sent_.find(message.round); sent != round_sent_.end()) peer.leased = sent->second;
+    if (const auto sent = round_sent_.find(message.round); sent != round_sent_.end())
+      peer.leased = sent->second;
   }
-  if (const auto learner = learners_.find(message.from); learner != learners_.end()) learner->second = now;
+  if (const auto learner = learners_.find(message.from); learner != learners_.end())
+    learner->second = now;
   note_progress(peer, message, now);
   send_pieces(peer, now);
   check_commit(now);
--- a/src/coordination/agreement_status.cpp
+++ b/src/coordination/agreement_status.cpp
@@ -6,14 +6,20 @@
 namespace saddlewing {
 namespace {
 
-std::uint64_t age(Moment since, Moment now) { return static_cast<std::uint64_t>(std::max(Span(0), span_between(since, now)).count()); }
+std::uint64_t age(Moment since, Moment now) {
+  return static_cast<std::uint64_t>(std::max(Span(0), span_between(since, now)).count());
+}
 
 CoreStatus::Role told(Agreement::Role role) {
   switch (role) {
-    case Agreement::Role::follower: return CoreStatus::Role::follower;
-    case Agreement::Role::pre_candidate: return CoreStatus::Role::pre_candidate;
-    case Agreement::Role::candidate: return CoreStatus::Role::candidate;
-    case Agreement::Role::leader: break;
+    case Agreement::Role::follower:
+      return CoreStatus::Role::follower;
+    case Agreement::Role::pre_candidate:
+      return CoreStatus::Role::pre_candidate;
+    case Agreement::Role::candidate:
+      return CoreStatus::Role::candidate;
+    case Agreement::Role::leader:
+      break;
   }
   return CoreStatus::Role::leader;
 }
@@ -29,9 +35,12 @@
   status.is_removed = is_removed_;
   status.term = durable_.term;
   status.leader = leader_;
-  if (role_ == Role::follower && !leader_.empty()) status.leader_heard = age(heard_leader_, now);
+  if (role_ == Role::follower && !leader_.empty())
+    status.leader_heard = age(heard_leader_, now);
   status.last = durable_.entry->index;
-  status.leader_last = role_ == Role::leader ? status.last : leader_.empty() ? Index{} : leader_last_;
+  status.leader_last = role_ == Role::leader ? status.last
+                       : leader_.empty()     ? Index{}
+                                             : leader_last_;
   status.has_committed = committed_ != nullptr;
   if (committed_) {
     status.committed_term = committed_->term;
@@ -42,7 +51,8 @@
   status.is_confirmed = is_confirmed(now);
   status.is_save_failing = is_save_failing_;
   status.is_save_stuck = save_started_ && now - *save_started_ > options_.stuck;
-  if (save_started_) status.saving = age(*save_started_, now);
+  if (save_started_)
+    status.saving = age(*save_started_, now);
   const auto add = [&](MemberId id, const std::string& address, bool is_voter) {
     CoreStatus::Peer told{id, address, is_voter, false, false, 0, 0};
     if (id == durable_.self) {
@@ -53,14 +63,17 @@
       told.is_known = true;
       told.is_matched = peer.matched == status.last;
       told.heard = age(peer.heard, now);
-      if (!told.is_matched && peer.has_told) told.behind = status.last.value - std::min(status.last.value, peer.held_index.value);
+      if (!told.is_matched && peer.has_told)
+        told.behind = status.last.value - std::min(status.last.value, peer.held_index.value);
     }
     status.peers.push_back(std::move(told));
   };
-  for (const Member& member : voters()) add(member.id, member.address, true);
+  for (const Member& member : voters())
+    add(member.id, member.address, true);
   if (role_ == Role::leader)
     for (const auto& [id, asked] : learners_)
-      if (const auto found = peers_.find(id); found != peers_.end()) add(id, found->second.address, false);
+      if (const auto found = peers_.find(id); found != peers_.end())
+        add(id, found->second.address, false);
   return status;
 }
 
--- a/src/coordination/aid.cpp
+++ b/src/coordination/aid.cpp
@@ -2,56 +2,73 @@
 
 namespace saddlewing {
 
-AidWork::AidWork(Ground& ground, std::uint64_t token, std::vector<Candidates> parts, std::size_t best_count, Span flush_after,
-                 Span time_left, Moment now)
-    : ground_(ground), token_(token), candidates_(std::move(parts)), parts_(candidates_.size()), best_count_(best_count), began_(now),
-      flush_at_(now + std::min(flush_after, time_left)), deadline_(now + time_left), best_(best_count) {}
+AidWork::AidWork(Ground& ground, std::uint64_t token, std::vector<Candidates> parts,
+                 std::size_t best_count, Span flush_after, Span time_left, Moment now)
+    : ground_(ground),
+      token_(token),
+      candidates_(std::move(parts)),
+      parts_(candidates_.size()),
+      best_count_(best_count),
+      began_(now),
+      flush_at_(now + std::min(flush_after, time_left)),
+      deadline_(now + time_left),
+      best_(best_count) {
+}
 
 void AidWork::start(Moment now) {
-  for (std::size_t index = 0; index < parts_.size() && is_open(); ++index) ask(index, now);
+  for (std::size_t index = 0; index < parts_.size() && is_open(); ++index)
+    ask(index, now);
 }
 
 void AidWork::ask(std::size_t index, Moment now) {
   Part& part = parts_[index];
   const Candidates& candidates = candidates_[index];
   for (;;) {
-    const PickResult picked = ground_.pick(candidates.backends, part.tried, candidates.most_connections, now, {});
+    const PickResult picked =
+        ground_.pick(candidates.backends, part.tried, candidates.most_connections, now, {});
     if (!picked.backend) {
       next_.failed.push_back({index, static_cast<std::uint64_t>(Kind::nobody_up), false});
       return settle(index, now);
     }
     part.tried.push_back(picked.backend);
-    if (ground_.ask(*this, index, *picked.backend, now)) return;
+    if (ground_.ask(*this, index, *picked.backend, now))
+      return;
   }
 }
 
 void AidWork::take_outcome(std::size_t index, BackendOutcome outcome, Span, Moment now) {
-  if (!is_open() || parts_[index].is_settled) return;
+  if (!is_open() || parts_[index].is_settled)
+    return;
   const bool is_success = outcome.status >= 200 && outcome.status < 300 && !outcome.is_not_run;
   if (is_success) {
     next_.done.push_back({index, std::move(outcome.seal)});
     best_.add(outcome.body);
   } else {
-    next_.failed.push_back({index, static_cast<std::uint64_t>(outcome.is_not_run ? Kind::turned_away : Kind::garbled), true});
+    next_.failed.push_back(
+        {index, static_cast<std::uint64_t>(outcome.is_not_run ? Kind::turned_away : Kind::garbled),
+         true});
   }
   settle(index, now);
 }
 
 void AidWork::take_breakdown(std::size_t index, Kind kind, bool may_have_run, Moment now) {
-  if (!is_open() || parts_[index].is_settled) return;
-  if (!may_have_run) return ask(index, now);  // nobody was reached, so another one is no further try
+  if (!is_open() || parts_[index].is_settled)
+    return;
+  if (!may_have_run)
+    return ask(index, now);  // nobody was reached, so another one is no further try
   next_.failed.push_back({index, static_cast<std::uint64_t>(kind), true});
   settle(index, now);
 }
 
 void AidWork::settle(std::size_t index, Moment now) {
   parts_[index].is_settled = true;
-  // Parts of one request take about alike, so those that come much later than half of them are stragglers, and
-  // do not hold the others back.
+  // Parts of one request take about alike, so those that come much later than half of them are
+  // stragglers, and do not hold the others back.
   if (!has_flushed_ && settled_ + 1 == (parts_.size() + 1) / 2)
     flush_at_ = std::min(flush_at_, now + (now - began_) * 6 / 10 + 8ms);
   // A frame with nothing in it would only start further askings, so the first part is waited for.
-  if (++settled_ == parts_.size() || has_flushed_ || now >= flush_at_) flush(now);
+  if (++settled_ == parts_.size() || has_flushed_ || now >= flush_at_)
+    flush(now);
 }
 
 void AidWork::flush(Moment now) {
@@ -67,12 +84,14 @@
 }
 
 void AidWork::on_due(Moment now) {
-  if (!is_open()) return;
+  if (!is_open())
+    return;
   if (now >= deadline_) {
     is_closed_ = true;
     return;
   }
-  if (!has_flushed_ && settled_ && now >= flush_at_) flush(now);
+  if (!has_flushed_ && settled_ && now >= flush_at_)
+    flush(now);
 }
 
 }  // namespace saddlewing
--- a/src/coordination/alerts.h
+++ b/src/coordination/alerts.h
@@ -1,6 +1,6 @@
 #pragma once
-// Alert rules in the Prometheus manner, as inputs to control. Of the language: one comparison of a metric, or of its rate,
-// with a number, and `for`.
+// Alert rules in the Prometheus manner, as inputs to control. Of the language: one comparison of a
+// metric, or of its rate, with a number, and `for`.
 #include <functional>
 #include <string>
 #include <vector>
@@ -15,10 +15,18 @@
   std::string name;
   Metric metric{};
   bool is_rate = false;  // the metric's growth in a second
-  enum class Comparison { above, at_least, below, at_most, equal, unequal } comparison{};
+  enum class Comparison {
+    above,
+    at_least,
+    below,
+    at_most,
+    equal,
+    unequal
+  } comparison{};
   double limit = 0;
-  Span hold{0};           // how long it must hold before it fires
-  int refuse_from = -1;   // while firing, requests of this rank and below it are refused; -1: only told in the log
+  Span hold{0};  // how long it must hold before it fires
+  int refuse_from =
+      -1;  // while firing, requests of this rank and below it are refused; -1: only told in the log
 };
 
 // The fault's step names the rule and the field.
@@ -27,11 +35,15 @@
 class Alerts {
  public:
   void replace(std::vector<AlertRule> rules);
-  bool is_empty() const { return states_.empty(); }
+  bool is_empty() const {
+    return states_.empty();
+  }
   // Once a second. Gives the names of the rules that began or ceased to fire.
   std::vector<std::string> evaluate(const std::function<double(Metric)>& value, Moment now);
   // Requests of this rank or a greater number are refused now.
-  int refuse_from() const { return refuse_from_; }
+  int refuse_from() const {
+    return refuse_from_;
+  }
 
  private:
   struct State {
--- a/src/coordination/asker.h
+++ b/src/coordination/asker.h
@@ -45,9 +45,12 @@
 class AskGround {
  public:
   virtual ~AskGround() = default;
-  virtual bool ask(Asker& asker, std::size_t part, Backend& backend, Moment now) = 0;  // false: not even begun
-  virtual PickResult pick(const std::vector<BackendPointer>& backends, const std::vector<const Backend*>& tried,
-                          int most_connections, Moment now, const PickWish& wish) = 0;  // most_connections: of all callers together
+  virtual bool ask(Asker& asker, std::size_t part, Backend& backend,
+                   Moment now) = 0;  // false: not even begun
+  virtual PickResult pick(const std::vector<BackendPointer>& backends,
+                          const std::vector<const Backend*>& tried, int most_connections,
+                          Moment now,
+                          const PickWish& wish) = 0;  // most_connections: of all callers together
 };
 
 }  // namespace saddlewing
--- a/src/coordination/backend.cpp
+++ b/src/coordination/backend.cpp
@@ -8,22 +8,27 @@
 namespace saddlewing {
 namespace {
 
-constexpr double guess_ms = 20;                        // of a backend not heard yet
-constexpr double locality_ms = 3, region_ms = 40;      // what bytes across them are taken to cost, beyond their time
-constexpr double bytes_in_a_ms = 1300, most_bytes_ms = 12;  // and so much more between localities, by the size of answers
-constexpr double other_ms = 4, scarce_ms = 60;         // against those that are not one's own
-constexpr double avoided_ms = 5000, preferred_ms = -2, trial_ms = -1000;  // by the shared view of edges
+constexpr double guess_ms = 20;  // of a backend not heard yet
+constexpr double locality_ms = 3,
+                 region_ms = 40;  // what bytes across them are taken to cost, beyond their time
+constexpr double bytes_in_a_ms = 1300,
+                 most_bytes_ms = 12;  // and so much more between localities, by the size of answers
+constexpr double other_ms = 4, scarce_ms = 60;  // against those that are not one's own
+constexpr double avoided_ms = 5000, preferred_ms = -2,
+                 trial_ms = -1000;  // by the shared view of edges
 constexpr Span trial_pause{250};
 constexpr std::size_t most_own = 2;
 
 }  // namespace
 
-BackendPointer keep_backend(const std::map<std::string, BackendPointer>& known, const RosterEntry& entry,
+BackendPointer keep_backend(const std::map<std::string, BackendPointer>& known,
+                            const RosterEntry& entry,
                             const std::map<std::string, std::string>& localities, Moment now) {
   const auto found = known.find(entry.id);
   BackendPointer backend = found != known.end() ? found->second : std::make_shared<Backend>();
   if (found == known.end()) {
-    if (!parse_address(entry.address, backend->address)) return nullptr;
+    if (!parse_address(entry.address, backend->address))
+      return nullptr;
     backend->id = entry.id;
     backend->service = entry.service;
     backend->locality = entry.locality;
@@ -41,30 +46,43 @@
   const double mean = backend.mean_ms > 0 ? backend.mean_ms : guess_ms;
   const double foreign = backend.load_of_others(now);
   const double waiting = std::max(0.0, backend.asked + foreign + 1 - backend.capacity);
-  double cost = mean * (1 + waiting / backend.capacity + 0.3 * (backend.asked + foreign) / backend.capacity);
-  if (now < backend.warm_until) cost *= 1.5;
-  if (backend.region != place_.region) cost += region_ms;
-  else if (backend.locality != place_.locality) cost += locality_ms + std::min(most_bytes_ms, backend.mean_bytes / bytes_in_a_ms);
-  if (!backend.is_own) cost += backend.is_scarce ? scarce_ms : other_ms;
+  double cost =
+      mean * (1 + waiting / backend.capacity + 0.3 * (backend.asked + foreign) / backend.capacity);
+  if (now < backend.warm_until)
+    cost *= 1.5;
+  if (backend.region != place_.region)
+    cost += region_ms;
+  else if (backend.locality != place_.locality)
+    cost += locality_ms + std::min(most_bytes_ms, backend.mean_bytes / bytes_in_a_ms);
+  if (!backend.is_own)
+    cost += backend.is_scarce ? scarce_ms : other_ms;
   return cost;
 }
 
-// What the shared view adds. It orders, it never forbids: where nothing else is left, an avoided edge serves.
+// What the shared view adds. It orders, it never forbids: where nothing else is left, an avoided
+// edge serves.
 double Picker::edge_cost(const Backend& backend, const PickWish& wish, Moment now) {
-  if (backend.is_avoided) return backend.is_trying && wish.may_try && now >= backend.trial_due ? trial_ms : avoided_ms * influence_;
-  if (backend.percent_kept < 100 && draw_() % 100 >= backend.percent_kept) return avoided_ms * influence_;
+  if (backend.is_avoided)
+    return backend.is_trying && wish.may_try && now >= backend.trial_due ? trial_ms
+                                                                         : avoided_ms * influence_;
+  if (backend.percent_kept < 100 && draw_() % 100 >= backend.percent_kept)
+    return avoided_ms * influence_;
   return backend.is_preferred ? preferred_ms * influence_ : 0;
 }
 
-void choose_own(const std::vector<BackendPointer>& backends, const PickPlace& place, const std::string& address, int most_connections, int brokers) {
+void choose_own(const std::vector<BackendPointer>& backends, const PickPlace& place,
+                const std::string& address, int most_connections, int brokers) {
   using Rank = std::tuple<int, std::size_t, Backend*>;
   std::vector<Rank> ranks;
   for (const BackendPointer& backend : backends) {
-    const int way = backend->locality == place.locality ? 0 : backend->region == place.region ? 1 : 2;
+    const int way = backend->locality == place.locality ? 0
+                    : backend->region == place.region   ? 1
+                                                        : 2;
     ranks.emplace_back(way, std::hash<std::string>{}(address + backend->id), backend.get());
   }
   std::sort(ranks.begin(), ranks.end());
-  const double part = static_cast<double>(most_connections) * static_cast<double>(backends.size()) / std::max(1, brokers);
+  const double part = static_cast<double>(most_connections) * static_cast<double>(backends.size()) /
+                      std::max(1, brokers);
   const std::size_t own = std::clamp<std::size_t>(static_cast<std::size_t>(part), 1, most_own);
   for (std::size_t index = 0; index < ranks.size(); ++index) {
     Backend& backend = *std::get<2>(ranks[index]);
@@ -73,8 +91,9 @@
   }
 }
 
-PickResult Picker::pick(const std::vector<BackendPointer>& backends, const std::vector<const Backend*>& tried,
-                        int most_connections, Moment now, const PickWish& wish) {
+PickResult Picker::pick(const std::vector<BackendPointer>& backends,
+                        const std::vector<const Backend*>& tried, int most_connections, Moment now,
+                        const PickWish& wish) {
   PickResult result;
   Backend *best = nullptr, *least_broken = nullptr;
   double best_cost = 0;
@@ -82,8 +101,11 @@
   bool has_to_wait = false;
   for (const BackendPointer& pointer : backends) {
     Backend& backend = *pointer;
-    if (backend.is_cancelled || (backend.status != Status::up && backend.status != Status::starting)) continue;
-    if (std::find(tried.begin(), tried.end(), &backend) != tried.end()) continue;
+    if (backend.is_cancelled ||
+        (backend.status != Status::up && backend.status != Status::starting))
+      continue;
+    if (std::find(tried.begin(), tried.end(), &backend) != tried.end())
+      continue;
     if (backend.asked >= most_connections) {
       result.is_full = true;
       continue;
@@ -93,11 +115,13 @@
       continue;
     }
     if (backend.breaker.is_open(now)) {
-      if (!least_broken || backend.breaker.until() < least_broken->breaker.until()) least_broken = &backend;
+      if (!least_broken || backend.breaker.until() < least_broken->breaker.until())
+        least_broken = &backend;
       continue;
     }
     const int rank = backend.status == Status::up ? 1 : 0;
-    const double cost = edge_cost(backend, wish, now) + this->cost(backend, now) * (1 + static_cast<double>(draw_() % 64) / 1024);
+    const double cost = edge_cost(backend, wish, now) +
+                        this->cost(backend, now) * (1 + static_cast<double>(draw_() % 64) / 1024);
     if (!best || rank > best_class || (rank == best_class && cost < best_cost)) {
       best = &backend;
       best_cost = cost;
@@ -106,8 +130,10 @@
   }
   // Breakers alone never empty a shard.
   result.backend = best || has_to_wait ? best : least_broken;
-  if (result.backend && result.backend->is_avoided) result.backend->trial_due = now + trial_pause;
-  if (result.backend && result.backend->breaker.is_on_trial(now)) result.backend->breaker.start_trial(now);
+  if (result.backend && result.backend->is_avoided)
+    result.backend->trial_due = now + trial_pause;
+  if (result.backend && result.backend->breaker.is_on_trial(now))
+    result.backend->breaker.start_trial(now);
   return result;
 }
 
--- a/src/coordination/backend.h
+++ b/src/coordination/backend.h
@@ -16,19 +16,31 @@
 // Opens after repeated breakdowns, lets one trial through when its pause is over.
 class Breaker {
  public:
-  void succeed() { breakdowns_ = 0, pause_ = first_pause, is_open_ = false; }
+  void succeed() {
+    breakdowns_ = 0, pause_ = first_pause, is_open_ = false;
+  }
   void fail(Moment now, bool is_plain) {  // plain: nothing was heard at all, as of a dead host
     breakdowns_ += is_plain ? most_breakdowns : 1;
-    if (breakdowns_ < most_breakdowns) return;
-    if (is_open_ && now < until_) return;
+    if (breakdowns_ < most_breakdowns)
+      return;
+    if (is_open_ && now < until_)
+      return;
     pause_ = is_open_ ? std::min(pause_ * 2, longest_pause) : first_pause;
     is_open_ = true;
     until_ = now + pause_;
   }
-  bool is_open(Moment now) const { return is_open_ && now < until_; }
-  bool is_on_trial(Moment now) const { return is_open_ && now >= until_; }
-  void start_trial(Moment now) { until_ = now + pause_; }  // the others wait for its end
-  Moment until() const { return until_; }
+  bool is_open(Moment now) const {
+    return is_open_ && now < until_;
+  }
+  bool is_on_trial(Moment now) const {
+    return is_open_ && now >= until_;
+  }
+  void start_trial(Moment now) {
+    until_ = now + pause_;
+  }  // the others wait for its end
+  Moment until() const {
+    return until_;
+  }
 
  private:
   static constexpr int most_breakdowns = 3;
@@ -45,43 +57,48 @@
   int capacity = 1;
   Status status = Status::starting;
   Moment warm_until{};
-  bool is_cancelled = false;  // emptying or gone: nothing more is sent, whatever snapshot an errand began with
+  bool is_cancelled =
+      false;  // emptying or gone: nothing more is sent, whatever snapshot an errand began with
 
-  int asked = 0;              // own requests at work there
+  int asked = 0;  // own requests at work there
   Moment last_asked{};
   int connections = 0;
-  bool is_own = true;         // of those this broker keeps connections to; see choose_own
-  bool is_scarce = false;     // its connections do not suffice for every broker: others than its own use it for a moment only
-  Moment warm_after{};        // no connection is opened in advance before
-  double foreign_load = 0;    // requests of others there, as last told
+  bool is_own = true;       // of those this broker keeps connections to; see choose_own
+  bool is_scarce = false;   // its connections do not suffice for every broker: others than its own
+                            // use it for a moment only
+  Moment warm_after{};      // no connection is opened in advance before
+  double foreign_load = 0;  // requests of others there, as last told
   Moment load_seen{};
-  int heavy_asked = 0;        // own heavy requests at work there
-  Moment short_asked{};       // when the last short one left
+  int heavy_asked = 0;   // own heavy requests at work there
+  Moment short_asked{};  // when the last short one left
   // What others have there, fading from the moment it was told.
   double load_of_others(Moment now) const {
     constexpr double fades_ms = 300;
     const double age = std::chrono::duration<double, std::milli>(now - load_seen).count();
     return age < fades_ms ? foreign_load * (1 - age / fades_ms) : 0;
   }
-  double mean_ms = 0;         // of its outcomes; 0: none yet
-  double least_ms = 0;        // near the least of them: mostly the way there and back
+  double mean_ms = 0;   // of its outcomes; 0: none yet
+  double least_ms = 0;  // near the least of them: mostly the way there and back
   // By the shared view of edges, see coordination/edges.h:
   bool is_avoided = false, is_preferred = false, is_trying = false;
   unsigned percent_kept = 100;
-  Moment trial_due{};         // when this broker next tries it although it is avoided
+  Moment trial_due{};  // when this broker next tries it although it is avoided
   Breaker breaker;
-  double mean_bytes = 0;      // of its answers
+  double mean_bytes = 0;  // of its answers
   void see_outcome(double milliseconds, double bytes = 0) {
     mean_bytes = mean_bytes == 0 ? bytes : mean_bytes * 0.9 + bytes * 0.1;
-    least_ms = mean_ms == 0 || milliseconds < least_ms ? milliseconds : least_ms + (milliseconds - least_ms) * 0.01;
+    least_ms = mean_ms == 0 || milliseconds < least_ms
+                   ? milliseconds
+                   : least_ms + (milliseconds - least_ms) * 0.01;
     mean_ms = mean_ms == 0 ? milliseconds : mean_ms * 0.9 + milliseconds * 0.1;
   }
 };
 using BackendPointer = std::shared_ptr<Backend>;
 
-// The backend of a roster's entry: the one known already, or a new one; null if its address is no address. Its state is
-// the entry's from now on.
-BackendPointer keep_backend(const std::map<std::string, BackendPointer>& known, const RosterEntry& entry,
+// The backend of a roster's entry: the one known already, or a new one; null if its address is no
+// address. Its state is the entry's from now on.
+BackendPointer keep_backend(const std::map<std::string, BackendPointer>& known,
+                            const RosterEntry& entry,
                             const std::map<std::string, std::string>& localities, Moment now);
 
 // The table of one moment: a configuration and who serves it. Immutable, swapped whole.
@@ -95,10 +112,12 @@
   std::string locality, region;
 };
 
-// Of one service's backends, those that the broker of this address keeps to: the nearest, and among them a choice that
-// differs by broker, as many as its part of all the connections allowed makes up (at least one). So the connections kept
-// grow with the traffic's parts, not with brokers times backends.
-void choose_own(const std::vector<BackendPointer>& backends, const PickPlace& place, const std::string& address, int most_connections, int brokers);
+// Of one service's backends, those that the broker of this address keeps to: the nearest, and among
+// them a choice that differs by broker, as many as its part of all the connections allowed makes up
+// (at least one). So the connections kept grow with the traffic's parts, not with brokers times
+// backends.
+void choose_own(const std::vector<BackendPointer>& backends, const PickPlace& place,
+                const std::string& address, int most_connections, int brokers);
 
 struct PickResult {
   Backend* backend = nullptr;
@@ -115,9 +134,13 @@
 // The least expected time among UP backends; STARTING ones only where none is UP.
 class Picker {
  public:
-  Picker(PickPlace place, std::uint64_t draw) : place_(std::move(place)), draw_(draw) {}
-  void set_influence(double influence) { influence_ = influence; }  // of the shared view: 1 whole, 0 none
-  PickResult pick(const std::vector<BackendPointer>& backends, const std::vector<const Backend*>& tried, int most_connections, Moment now,
+  Picker(PickPlace place, std::uint64_t draw) : place_(std::move(place)), draw_(draw) {
+  }
+  void set_influence(double influence) {
+    influence_ = influence;
+  }  // of the shared view: 1 whole, 0 none
+  PickResult pick(const std::vector<BackendPointer>& backends,
+                  const std::vector<const Backend*>& tried, int most_connections, Moment now,
                   const PickWish& wish = {});
 
  private:
--- a/src/coordination/beat.cpp
+++ b/src/coordination/beat.cpp
@@ -14,9 +14,13 @@
 
 }  // namespace
 
-Fault read_beat(const std::string& id, const std::string& body, bool is_leaving, RosterEntry& entry) {
-  const bool is_plain = std::all_of(id.begin(), id.end(), [](unsigned char letter) { return letter > ' ' && letter < 127 && letter != '/' && letter != '?'; });
-  if (id.empty() || id.size() > longest_text || !is_plain) return fault(Kind::invalid, "the path names no backend");
+Fault read_beat(const std::string& id, const std::string& body, bool is_leaving,
+                RosterEntry& entry) {
+  const bool is_plain = std::all_of(id.begin(), id.end(), [](unsigned char letter) {
+    return letter > ' ' && letter < 127 && letter != '/' && letter != '?';
+  });
+  if (id.empty() || id.size() > longest_text || !is_plain)
+    return fault(Kind::invalid, "the path names no backend");
   RosterEntry read;
   read.id = id;
   if (is_leaving) {
@@ -26,19 +30,26 @@
   }
   Json::Value root;
   std::string reason;
-  if (!read_json(body, root, reason) || !root.isObject()) return fault(Kind::invalid, "the beat is not a JSON object");
+  if (!read_json(body, root, reason) || !root.isObject())
+    return fault(Kind::invalid, "the beat is not a JSON object");
   std::string first;
   const auto text = [&](const char* name, bool is_required) -> std::string {
     const Json::Value& value = root[name];
-    if (value.isString() && value.asString().size() <= longest_text && !(is_required && value.asString().empty())) return value.asString();
-    if ((is_required || !value.isNull()) && first.empty()) first = std::string(name) + " is missing or no proper text";
+    if (value.isString() && value.asString().size() <= longest_text &&
+        !(is_required && value.asString().empty()))
+      return value.asString();
+    if ((is_required || !value.isNull()) && first.empty())
+      first = std::string(name) + " is missing or no proper text";
     return {};
   };
-  const auto number = [&](const char* name, double least, double most, double otherwise, bool is_required) -> double {
+  const auto number = [&](const char* name, double least, double most, double otherwise,
+                          bool is_required) -> double {
     const Json::Value& value = root[name];
-    if (value.isNumeric() && !value.isBool() && std::isfinite(value.asDouble()) && value.asDouble() >= least && value.asDouble() <= most)
+    if (value.isNumeric() && !value.isBool() && std::isfinite(value.asDouble()) &&
+        value.asDouble() >= least && value.asDouble() <= most)
       return value.asDouble();
-    if ((is_required || !value.isNull()) && first.empty()) first = std::string(name) + " is missing or out of range";
+    if ((is_required || !value.isNull()) && first.empty())
+      first = std::string(name) + " is missing or out of range";
     return otherwise;
   };
   read.service = text("service", true);
@@ -50,10 +61,14 @@
   read.call_count = static_cast<std::uint64_t>(number("call_count", 0, 1e15, 0, true));
   const std::string state = text("state", true), role = text("store_role", false);
   Address address;
-  if (first.empty() && !parse_address(read.address, address)) first = "address is not an address";
-  if (first.empty() && state != "ready" && state != "emptying") first = "state is neither ready nor emptying";
-  if (first.empty() && !role.empty() && role != "leader" && role != "copy") first = "store_role is neither leader nor copy";
-  if (!first.empty()) return fault(Kind::invalid, first);
+  if (first.empty() && !parse_address(read.address, address))
+    first = "address is not an address";
+  if (first.empty() && state != "ready" && state != "emptying")
+    first = "state is neither ready nor emptying";
+  if (first.empty() && !role.empty() && role != "leader" && role != "copy")
+    first = "store_role is neither leader nor copy";
+  if (!first.empty())
+    return fault(Kind::invalid, first);
   read.phase = state == "ready" ? Phase::ready : Phase::emptying;
   read.is_leader = role == "leader";
   entry = std::move(read);
--- a/src/coordination/budget.h
+++ b/src/coordination/budget.h
@@ -8,10 +8,12 @@
 
 namespace saddlewing {
 
-// Counts events of the last `span`, in steps of a fiftieth of it. Never forgets too early: a step leaves as a whole.
+// Counts events of the last `span`, in steps of a fiftieth of it. Never forgets too early: a step
+// leaves as a whole.
 class WindowCount {
  public:
-  explicit WindowCount(Span span) : step_(std::max<std::int64_t>(1, span.count() / (steps - 1))) {}
+  explicit WindowCount(Span span) : step_(std::max<std::int64_t>(1, span.count() / (steps - 1))) {
+  }
   void add(Moment now, std::uint32_t count = 1) {
     turn(now);
     counts_[at_ % steps] += count;
@@ -25,7 +27,8 @@
  private:
   static constexpr std::int64_t steps = 51;
   void turn(Moment now) {
-    const std::int64_t at = std::chrono::duration_cast<Span>(now.time_since_epoch()).count() / step_;
+    const std::int64_t at =
+        std::chrono::duration_cast<Span>(now.time_since_epoch()).count() / step_;
     if (at - at_ >= steps) {
       counts_.fill(0);
       sum_ = 0;
@@ -42,16 +45,22 @@
   std::uint64_t sum_ = 0;
 };
 
-// Invariant: extras sent in any window stay within `caution` of what the broker's own requests of that window earn,
-// plus its part of the common reserve. Requests are counted over a shorter span than extras, so that neither the way to
-// the backend nor the edge of a window can tip the sum.
+// Invariant: extras sent in any window stay within `caution` of what the broker's own requests of
+// that window earn, plus its part of the common reserve. Requests are counted over a shorter span
+// than extras, so that neither the way to the backend nor the edge of a window can tip the sum.
 class Budget {
  public:
-  Budget(Span span, double share) : share_(share), requests_(span * 4 / 5), extras_(span * 6 / 5) {}
-  void count_request(Moment now) { requests_.add(now); }
-  void count_extra(Moment now) { extras_.add(now); }
+  Budget(Span span, double share) : share_(share), requests_(span * 4 / 5), extras_(span * 6 / 5) {
+  }
+  void count_request(Moment now) {
+    requests_.add(now);
+  }
+  void count_extra(Moment now) {
+    extras_.add(now);
+  }
   bool allows_extra(Moment now, double reserve) {
-    return static_cast<double>(extras_.sum(now)) + 1 <= share_ * caution * static_cast<double>(requests_.sum(now)) + reserve;
+    return static_cast<double>(extras_.sum(now)) + 1 <=
+           share_ * caution * static_cast<double>(requests_.sum(now)) + reserve;
   }
 
  private:
--- a/src/coordination/bulkhead.h
+++ b/src/coordination/bulkhead.h
@@ -1,6 +1,6 @@
 #pragma once
-// Heavy requests beside short ones: which routes are heavy is learnt, and at each backend they leave a slot to the short
-// ones. Pure.
+// Heavy requests beside short ones: which routes are heavy is learnt, and at each backend they
+// leave a slot to the short ones. Pure.
 #include <algorithm>
 #include <cstdint>
 #include <map>
@@ -14,27 +14,40 @@
 // What the requests of each route take at each service, fading.
 class WorkClasses {
  public:
-  // `times`: so many times the work of the lightest route at the same service makes a route heavy; 0: none ever is.
-  explicit WorkClasses(double times) : times_(times) {}
-  bool is_on() const { return times_ > 0; }
-  void see(const std::string& service, const std::string& route, double milliseconds, double bytes, Moment now) {
+  // `times`: so many times the work of the lightest route at the same service makes a route heavy;
+  // 0: none ever is.
+  explicit WorkClasses(double times) : times_(times) {
+  }
+  bool is_on() const {
+    return times_ > 0;
+  }
+  void see(const std::string& service, const std::string& route, double milliseconds, double bytes,
+           Moment now) {
     auto& rows = by_service_[service];
-    if (rows.size() >= most_routes && !rows.contains(route)) return;
+    if (rows.size() >= most_routes && !rows.contains(route))
+      return;
     Row& row = rows[route];
-    // Near the least: what is beyond it was mostly waiting, and waiting must not make a route heavy.
-    row.work_ms = row.seen == Moment{} ? milliseconds : row.work_ms + (milliseconds - row.work_ms) * (milliseconds < row.work_ms ? 0.3 : 0.02);
+    // Near the least: what is beyond it was mostly waiting, and waiting must not make a route
+    // heavy.
+    row.work_ms = row.seen == Moment{}
+                      ? milliseconds
+                      : row.work_ms + (milliseconds - row.work_ms) *
+                                          (milliseconds < row.work_ms ? 0.3 : 0.02);
     row.bytes = row.seen == Moment{} ? bytes : row.bytes + (bytes - row.bytes) * 0.05;
     row.seen = now;
     row.count = std::min(row.count + 1, least_seen);
   }
   bool is_heavy(const std::string& service, const std::string& route, Moment now) {
     const auto found = by_service_.find(service);
-    if (times_ <= 0 || found == by_service_.end()) return false;
+    if (times_ <= 0 || found == by_service_.end())
+      return false;
     const auto own = found->second.find(route);
-    if (own == found->second.end() || own->second.count < least_seen) return false;
+    if (own == found->second.end() || own->second.count < least_seen)
+      return false;
     double lightest = own->second.cost();
     for (const auto& [name, row] : found->second)
-      if (row.count >= least_seen && now - row.seen < remembered) lightest = std::min(lightest, row.cost());
+      if (row.count >= least_seen && now - row.seen < remembered)
+        lightest = std::min(lightest, row.cost());
     const double bound = times_ * lightest * (own->second.is_heavy ? stays : 1);
     return own->second.is_heavy = own->second.cost() > bound;
   }
@@ -44,7 +57,8 @@
     double least = 0;
     if (found != by_service_.end())
       for (const auto& [name, row] : found->second)
-        if (now - row.seen < remembered && (least == 0 || row.work_ms < least)) least = row.work_ms;
+        if (now - row.seen < remembered && (least == 0 || row.work_ms < least))
+          least = row.work_ms;
     return Span(static_cast<std::int64_t>(least + 1));
   }
 
@@ -58,34 +72,47 @@
     Moment seen{};
     int count = 0;
     bool is_heavy = false;
-    double cost() const { return std::max(0.5, work_ms) + bytes / bytes_in_a_ms; }
+    double cost() const {
+      return std::max(0.5, work_ms) + bytes / bytes_in_a_ms;
+    }
   };
   double times_;
   std::map<std::string, std::map<std::string, Row>> by_service_;
 };
 
 // Whether a heavy request may go to a backend now. Short ones always may.
-// Invariant: where short ones come by, a heavy one takes the last free slot only if no other heavy one is there or has
-// waited its turn; without short ones no slot is kept free for longer than their work takes.
+// Invariant: where short ones come by, a heavy one takes the last free slot only if no other heavy
+// one is there or has waited its turn; without short ones no slot is kept free for longer than
+// their work takes.
 inline bool admits_heavy(const Backend& backend, Span short_work, Span waited, Moment now) {
-  if (backend.capacity <= 1) return true;  // order alone decides
-  const double in_use = std::max<double>(backend.asked, backend.asked + backend.load_of_others(now));
-  if (in_use < backend.capacity - 1) return true;
-  if (now - backend.short_asked >= short_work + short_work) return in_use < backend.capacity;
+  if (backend.capacity <= 1)
+    return true;  // order alone decides
+  const double in_use =
+      std::max<double>(backend.asked, backend.asked + backend.load_of_others(now));
+  if (in_use < backend.capacity - 1)
+    return true;
+  if (now - backend.short_asked >= short_work + short_work)
+    return in_use < backend.capacity;
   return in_use < backend.capacity && backend.heavy_asked == 0 && waited >= short_work * 4;
 }
 
-// In which order those that wait in a broker get their turns: by rank, and within a rank short and heavy ones by weighted
-// turns, each by deadline. Bounded.
+// In which order those that wait in a broker get their turns: by rank, and within a rank short and
+// heavy ones by weighted turns, each by deadline. Bounded.
 template <class Item>
 class TurnQueue {
  public:
-  TurnQueue(std::size_t most, int short_turns) : most_(most), short_turns_(short_turns) {}
-  bool is_empty() const { return size_ == 0; }
-  std::size_t size() const { return size_; }
+  TurnQueue(std::size_t most, int short_turns) : most_(most), short_turns_(short_turns) {
+  }
+  bool is_empty() const {
+    return size_ == 0;
+  }
+  std::size_t size() const {
+    return size_;
+  }
   // False: it is full of what goes before this.
   bool push(Item item, int rank, bool is_heavy, Moment deadline) {
-    if (size_ >= most_ && (ranks_.empty() || ranks_.rbegin()->first <= rank)) return false;
+    if (size_ >= most_ && (ranks_.empty() || ranks_.rbegin()->first <= rank))
+      return false;
     auto& lines = ranks_[rank];
     (is_heavy ? lines.heavy : lines.light).emplace(deadline, std::move(item));
     ++size_;
@@ -93,7 +120,8 @@
   }
   // The one that an arrival of a higher rank displaced; call it while over the bound.
   bool pop_last(Item& item) {
-    if (size_ <= most_ || ranks_.empty()) return false;
+    if (size_ <= most_ || ranks_.empty())
+      return false;
     auto& [rank, lines] = *ranks_.rbegin();
     auto& line = lines.heavy.empty() ? lines.light : lines.heavy;
     const auto last = std::prev(line.end());
@@ -103,9 +131,11 @@
     return true;
   }
   bool pop(Item& item) {
-    if (ranks_.empty()) return false;
+    if (ranks_.empty())
+      return false;
     auto& [rank, lines] = *ranks_.begin();
-    const bool is_heavy = lines.light.empty() || (!lines.heavy.empty() && lines.light_turns >= short_turns_);
+    const bool is_heavy =
+        lines.light.empty() || (!lines.heavy.empty() && lines.light_turns >= short_turns_);
     lines.light_turns = is_heavy ? 0 : lines.light_turns + 1;
     auto& line = is_heavy ? lines.heavy : lines.light;
     item = std::move(line.begin()->second);
@@ -122,7 +152,8 @@
   void drop_empty(int rank) {
     --size_;
     const auto found = ranks_.find(rank);
-    if (found->second.light.empty() && found->second.heavy.empty()) ranks_.erase(found);
+    if (found->second.light.empty() && found->second.heavy.empty())
+      ranks_.erase(found);
   }
   std::size_t most_, size_ = 0;
   int short_turns_;
--- a/src/coordination/calls.cpp
+++ b/src/coordination/calls.cpp
@@ -24,22 +24,27 @@
 
 }  // namespace
 
-std::uint64_t digest_of(const std::string& body) { return XXH3_64bits(body.data(), body.size()); }
+std::uint64_t digest_of(const std::string& body) {
+  return XXH3_64bits(body.data(), body.size());
+}
 
 std::string note_order(const std::string& sheet, Version version, std::uint64_t digest) {
   Orders orders = read_orders(sheet);
   orders.try_emplace(version.value, digest);
   // Dropped many at a time: in between a change of the sheet is what it gains at its end.
   if (orders.size() > most_orders + most_orders / 4)
-    while (orders.size() > most_orders) orders.erase(orders.begin());
+    while (orders.size() > most_orders)
+      orders.erase(orders.begin());
   Writer writer;
-  for (const auto& [number, held] : orders) writer.number(static_cast<std::uint64_t>(number)).number(held);
+  for (const auto& [number, held] : orders)
+    writer.number(static_cast<std::uint64_t>(number)).number(held);
   return writer.take();
 }
 
 Taken find_order(const std::string& sheet, Version version, std::uint64_t digest) {
   const Orders orders = read_orders(sheet);
-  if (orders.empty() || version.value < orders.begin()->first) return Taken::unknown;
+  if (orders.empty() || version.value < orders.begin()->first)
+    return Taken::unknown;
   const auto found = orders.find(version.value);
   return found != orders.end() && found->second == digest ? Taken::yes : Taken::no;
 }
@@ -47,8 +52,10 @@
 std::string acknowledge(const Entry& committed, Version version, std::uint64_t digest) {
   const std::uint64_t held = digest_of(committed.body);
   Taken taken = Taken::unknown;
-  if (const auto sheet = committed.sheets.find(orders_sheet); sheet != committed.sheets.end()) taken = find_order(sheet->second, version, digest);
-  if (version == committed.version) taken = digest == held ? Taken::yes : Taken::no;  // also if taken before there was such a sheet
+  if (const auto sheet = committed.sheets.find(orders_sheet); sheet != committed.sheets.end())
+    taken = find_order(sheet->second, version, digest);
+  if (version == committed.version)
+    taken = digest == held ? Taken::yes : Taken::no;  // also if taken before there was such a sheet
   char hex[17];
   std::snprintf(hex, sizeof hex, "%016llx", static_cast<unsigned long long>(held));
   Json::Value value(Json::objectValue);
@@ -62,19 +69,23 @@
   return Json::writeString(builder, value) + "\n";
 }
 
-std::uint64_t CallTable::add(bool is_read, Version version, std::string body, std::uint64_t origin_token, Moment deadline) {
+std::uint64_t CallTable::add(bool is_read, Version version, std::string body,
+                             std::uint64_t origin_token, Moment deadline) {
   Call& call = calls_[++last_];
   call.is_read = is_read;
   call.version = version;
   call.body = std::move(body);
-  if (!is_read) call.digest = digest_of(call.body);
+  if (!is_read)
+    call.digest = digest_of(call.body);
   call.origin_token = origin_token;
   call.deadline = deadline;
   return last_;
 }
 
-std::uint64_t CallTable::add(Forward forward, std::string origin, LifeId origin_life, Moment deadline) {
-  const std::uint64_t token = add(forward.is_read, forward.version, std::move(forward.body), forward.token, deadline);
+std::uint64_t CallTable::add(Forward forward, std::string origin, LifeId origin_life,
+                             Moment deadline) {
+  const std::uint64_t token =
+      add(forward.is_read, forward.version, std::move(forward.body), forward.token, deadline);
   Call& call = calls_[token];
   call.origin = std::move(origin);
   call.origin_life = origin_life;
@@ -90,18 +101,25 @@
 }
 
 std::uint64_t CallTable::take(const Forwarded& answer, const std::string& from) {
-  if (answer.asker != life_) return 0;
+  if (answer.asker != life_)
+    return 0;
   const auto found = calls_.find(answer.token);
-  if (found == calls_.end()) return 0;
+  if (found == calls_.end())
+    return 0;
   Call& call = found->second;
-  if (call.sent_to != from || answer.is_read != call.is_read || answer.version != call.version || answer.digest != call.digest) return 0;
-  if (call.is_read && answer.is_done && answer.term < call.asked_term) return 0;
-  if (!answer.is_done) call.sent_to.clear();
+  if (call.sent_to != from || answer.is_read != call.is_read || answer.version != call.version ||
+      answer.digest != call.digest)
+    return 0;
+  if (call.is_read && answer.is_done && answer.term < call.asked_term)
+    return 0;
+  if (!answer.is_done)
+    call.sent_to.clear();
   return answer.token;
 }
 
 Forwarded CallTable::answer(const Call& call, bool is_done, Term term, std::string body) {
-  return {call.origin_token, call.origin_life, call.is_read, call.version, call.digest, term, is_done, std::move(body)};
+  return {call.origin_token, call.origin_life, call.is_read, call.version, call.digest, term,
+          is_done,           std::move(body)};
 }
 
 CallTable::Call* CallTable::find(std::uint64_t token) {
@@ -111,7 +129,8 @@
 
 std::optional<CallTable::Call> CallTable::remove(std::uint64_t token) {
   const auto found = calls_.find(token);
-  if (found == calls_.end()) return std::nullopt;
+  if (found == calls_.end())
+    return std::nullopt;
   std::optional<Call> call = std::move(found->second);
   calls_.erase(found);
   return call;
--- a/src/coordination/calls.h
+++ b/src/coordination/calls.h
@@ -13,18 +13,24 @@
 
 std::uint64_t digest_of(const std::string& body);  // XXH3, 64 bits
 
-// The digests of the bodies taken under the last numbers, agreed together with them: the sheet `orders`. Invariant: one
-// body under each number, the first that was taken.
+// The digests of the bodies taken under the last numbers, agreed together with them: the sheet
+// `orders`. Invariant: one body under each number, the first that was taken.
 inline constexpr const char* orders_sheet = "orders";
 std::string note_order(const std::string& sheet, Version version, std::uint64_t digest);
-enum class Taken { unknown, no, yes };  // unknown: too long ago
+enum class Taken {
+  unknown,
+  no,
+  yes
+};  // unknown: too long ago
 Taken find_order(const std::string& sheet, Version version, std::uint64_t digest);
 
-// What the operator is told of an order that counts as acknowledged, by the state `committed` here; JSON.
+// What the operator is told of an order that counts as acknowledged, by the state `committed` here;
+// JSON.
 std::string acknowledge(const Entry& committed, Version version, std::uint64_t digest);
 
-// The calls waiting here. An answer of another registry is believed only if it names this life, the call, its kind and
-// what was asked, comes from whom it was asked last, and, for a read, from a leader of no lower term than known then.
+// The calls waiting here. An answer of another registry is believed only if it names this life, the
+// call, its kind and what was asked, comes from whom it was asked last, and, for a read, from a
+// leader of no lower term than known then.
 class CallTable {
  public:
   struct Call {
@@ -32,27 +38,33 @@
     Version version;
     std::string body;
     std::uint64_t digest = 0;
-    std::string origin;              // inner address of the registry that passed it on; empty: the own desk
+    std::string origin;  // inner address of the registry that passed it on; empty: the own desk
     LifeId origin_life;
     std::uint64_t origin_token = 0;
-    Term origin_term;                // known there when it was asked
-    std::string sent_to;             // who has it; empty: nobody yet
-    Term asked_term;                 // known here when it was sent
+    Term origin_term;     // known there when it was asked
+    std::string sent_to;  // who has it; empty: nobody yet
+    Term asked_term;      // known here when it was sent
     Moment deadline;
   };
-  explicit CallTable(LifeId life) : life_(life) {}
+  explicit CallTable(LifeId life) : life_(life) {
+  }
   // Of the own desk, or passed on by another registry. The token, never 0.
-  std::uint64_t add(bool is_read, Version version, std::string body, std::uint64_t origin_token, Moment deadline);
+  std::uint64_t add(bool is_read, Version version, std::string body, std::uint64_t origin_token,
+                    Moment deadline);
   std::uint64_t add(Forward forward, std::string origin, LifeId origin_life, Moment deadline);
   Forward send(std::uint64_t token, const std::string& to, Term term);
-  // The token of the call that it answers; 0: of none, and nothing changed. An answer that nothing was done leaves the call
-  // to be asked again.
+  // The token of the call that it answers; 0: of none, and nothing changed. An answer that nothing
+  // was done leaves the call to be asked again.
   std::uint64_t take(const Forwarded& answer, const std::string& from);
   static Forwarded answer(const Call& call, bool is_done, Term term, std::string body);
   Call* find(std::uint64_t token);
   std::optional<Call> remove(std::uint64_t token);
-  std::map<std::uint64_t, Call>& calls() { return calls_; }
-  bool is_empty() const { return calls_.empty(); }
+  std::map<std::uint64_t, Call>& calls() {
+    return calls_;
+  }
+  bool is_empty() const {
+    return calls_.empty();
+  }
 
  private:
   LifeId life_;
--- a/src/coordination/edges.cpp
+++ b/src/coordination/edges.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double step = 1.5;
-constexpr std::uint64_t most_counted = 1u << 24;       // of one cell in one frame
+constexpr std::uint64_t most_counted = 1u << 24;  // of one cell in one frame
 constexpr std::size_t most_name = 256;
 
 }  // namespace
@@ -28,11 +28,15 @@
 }
 
 std::size_t edge_bucket(double milliseconds) {
-  if (!(milliseconds > 1)) return 0;
-  return std::min(edge_buckets - 1, static_cast<std::size_t>(std::log(milliseconds) / std::log(step)));
+  if (!(milliseconds > 1))
+    return 0;
+  return std::min(edge_buckets - 1,
+                  static_cast<std::size_t>(std::log(milliseconds) / std::log(step)));
 }
 
-double edge_bucket_top(std::size_t bucket) { return std::pow(step, static_cast<double>(bucket + 1)); }
+double edge_bucket_top(std::size_t bucket) {
+  return std::pow(step, static_cast<double>(bucket + 1));
+}
 
 void EdgeCount::add(double milliseconds, bool has_failed) {
   ++times[edge_bucket(milliseconds)];
@@ -41,7 +45,8 @@
 }
 
 EdgeCount& EdgeCount::operator+=(const EdgeCount& other) {
-  for (std::size_t bucket = 0; bucket < edge_buckets; ++bucket) times[bucket] += other.times[bucket];
+  for (std::size_t bucket = 0; bucket < edge_buckets; ++bucket)
+    times[bucket] += other.times[bucket];
   failures += other.failures;
   busy_ms += other.busy_ms;
   return *this;
@@ -49,23 +54,29 @@
 
 std::uint64_t EdgeCount::sum() const {
   std::uint64_t sum = 0;
-  for (const std::uint32_t count : times) sum += count;
+  for (const std::uint32_t count : times)
+    sum += count;
   return sum;
 }
 
 void EdgeCounts::add(const EdgeName& name, double milliseconds, bool has_failed) {
   const auto found = rows_.find(name);
-  if (found != rows_.end()) return found->second.add(milliseconds, has_failed);
-  if (rows_.size() >= most_) return void(++dropped_);
+  if (found != rows_.end())
+    return found->second.add(milliseconds, has_failed);
+  if (rows_.size() >= most_)
+    return void(++dropped_);
   rows_[name].add(milliseconds, has_failed);
 }
 
 bool EdgeCounts::merge(const std::string& bytes) {
   std::map<EdgeName, EdgeCount> rows;
-  if (!decode_edges(bytes, most_, rows)) return ++dropped_, false;
+  if (!decode_edges(bytes, most_, rows))
+    return ++dropped_, false;
   for (const auto& [name, count] : rows) {
-    if (!rows_.contains(name) && rows_.size() >= most_) ++dropped_;
-    else rows_[name] += count;
+    if (!rows_.contains(name) && rows_.size() >= most_)
+      ++dropped_;
+    else
+      rows_[name] += count;
   }
   return true;
 }
@@ -82,24 +93,30 @@
   std::map<std::string, std::uint64_t> places;
   const auto place_of = [&](const std::string& name) {
     const auto [found, is_new] = places.try_emplace(name, names.size());
-    if (is_new) names.push_back(name);
+    if (is_new)
+      names.push_back(name);
     return found->second;
   };
   std::string cells;
   const auto put = [&](std::uint64_t value) {  // seven bits a byte
-    for (; value > 127; value >>= 7) cells.push_back(static_cast<char>(value | 128));
+    for (; value > 127; value >>= 7)
+      cells.push_back(static_cast<char>(value | 128));
     cells.push_back(static_cast<char>(value));
   };
   for (const auto& [name, count] : rows) {
-    put(place_of(name.service)), put(place_of(name.zone)), put(static_cast<std::uint64_t>(name.kind));
+    put(place_of(name.service)), put(place_of(name.zone)),
+        put(static_cast<std::uint64_t>(name.kind));
     put(count.failures), put(static_cast<std::uint64_t>(count.busy_ms));
-    put(static_cast<std::uint64_t>(std::count_if(count.times.begin(), count.times.end(), [](std::uint32_t times) { return times > 0; })));
+    put(static_cast<std::uint64_t>(std::count_if(count.times.begin(), count.times.end(),
+                                                 [](std::uint32_t times) { return times > 0; })));
     for (std::size_t bucket = 0; bucket < edge_buckets; ++bucket)
-      if (count.times[bucket]) put(bucket), put(count.times[bucket]);
+      if (count.times[bucket])
+        put(bucket), put(count.times[bucket]);
   }
   Writer writer;
   writer.number(names.size());
-  for (const std::string& name : names) writer.text(name);
+  for (const std::string& name : names)
+    writer.text(name);
   return writer.text(cells).take();
 }
 
@@ -107,37 +124,50 @@
   ByteReader reader(bytes);
   std::vector<std::string> names(reader.count(8));
   for (std::string& name : names)
-    if ((name = reader.text()).size() > most_name) return false;
+    if ((name = reader.text()).size() > most_name)
+      return false;
   const std::string cells = reader.text();
-  if (!reader.is_whole()) return false;
+  if (!reader.is_whole())
+    return false;
   std::size_t at = 0;
   bool is_good = true;
   const auto get = [&] {
     std::uint64_t value = 0;
     for (int shift = 0; shift < 63; shift += 7) {
-      if (at >= cells.size()) break;
+      if (at >= cells.size())
+        break;
       const auto byte = static_cast<unsigned char>(cells[at++]);
       value |= static_cast<std::uint64_t>(byte & 127) << shift;
-      if (byte < 128) return value;
+      if (byte < 128)
+        return value;
     }
     is_good = false;
     return std::uint64_t{0};
   };
   while (at < cells.size()) {
-    const std::uint64_t service = get(), zone = get(), kind = get(), failures = get(), busy = get(), buckets = get();
-    if (!is_good || service >= names.size() || zone >= names.size() || kind > 1 || buckets > edge_buckets || rows.size() >= most) return false;
+    const std::uint64_t service = get(), zone = get(), kind = get(), failures = get(), busy = get(),
+                        buckets = get();
+    if (!is_good || service >= names.size() || zone >= names.size() || kind > 1 ||
+        buckets > edge_buckets || rows.size() >= most)
+      return false;
     EdgeCount count;
     std::uint64_t sum = 0;
     for (std::uint64_t left = buckets; left > 0; --left) {
       const std::uint64_t bucket = get(), times = get();
-      if (!is_good || bucket >= edge_buckets || times == 0 || times > most_counted || count.times[bucket]) return false;
+      if (!is_good || bucket >= edge_buckets || times == 0 || times > most_counted ||
+          count.times[bucket])
+        return false;
       count.times[bucket] = static_cast<std::uint32_t>(times);
       sum += times;
     }
-    if (failures > sum || sum == 0 || busy > sum * 600000) return false;
+    if (failures > sum || sum == 0 || busy > sum * 600000)
+      return false;
     count.failures = static_cast<std::uint32_t>(failures);
     count.busy_ms = static_cast<double>(busy);
-    if (!rows.try_emplace(EdgeName{names[service], names[zone], static_cast<EdgeClass>(kind)}, count).second) return false;
+    if (!rows.try_emplace(EdgeName{names[service], names[zone], static_cast<EdgeClass>(kind)},
+                          count)
+             .second)
+      return false;
   }
   return true;
 }
@@ -147,7 +177,8 @@
   return names[static_cast<std::size_t>(verdict)];
 }
 
-const EdgeState* EdgeView::find(const std::string& service, const std::string& zone, const std::string& region) const {
+const EdgeState* EdgeView::find(const std::string& service, const std::string& zone,
+                                const std::string& region) const {
   const auto found = std::find_if(states.begin(), states.end(), [&](const EdgeState& state) {
     return state.region == region && state.zone == zone && state.service == service;
   });
@@ -158,7 +189,12 @@
   Writer writer;
   writer.number(view.mark).number(view.trial_brokers).number(view.states.size());
   for (const EdgeState& state : view.states)
-    writer.text(state.service).text(state.zone).text(state.region).number(static_cast<std::uint64_t>(state.verdict)).number(state.percent_kept).text(state.reason);
+    writer.text(state.service)
+        .text(state.zone)
+        .text(state.region)
+        .number(static_cast<std::uint64_t>(state.verdict))
+        .number(state.percent_kept)
+        .text(state.reason);
   return writer.take();
 }
 
@@ -174,35 +210,47 @@
     const std::uint64_t verdict = reader.number();
     state.percent_kept = reader.number();
     state.reason = reader.text();
-    if (verdict > static_cast<std::uint64_t>(EdgeState::Verdict::avoided) || state.percent_kept > 100) return false;
+    if (verdict > static_cast<std::uint64_t>(EdgeState::Verdict::avoided) ||
+        state.percent_kept > 100)
+      return false;
     state.verdict = static_cast<EdgeState::Verdict>(verdict);
   }
   return reader.is_whole();
 }
 
 bool EdgeGate::take(EdgeSnapshot view) {
-  if (!view || view->mark <= held()) return false;
+  if (!view || view->mark <= held())
+    return false;
   coming_ = std::move(view);
-  if (coming_->mark <= in_force_) serving_ = std::exchange(coming_, nullptr);
+  if (coming_->mark <= in_force_)
+    serving_ = std::exchange(coming_, nullptr);
   return true;
 }
 
 void EdgeGate::see_in_force(std::uint64_t mark, Moment now) {
-  if (mark < in_force_) return;  // of a leader before
+  if (mark < in_force_)
+    return;  // of a leader before
   in_force_ = mark;
   heard_ = now;
-  if (coming_ && coming_->mark <= in_force_) serving_ = std::exchange(coming_, nullptr);
+  if (coming_ && coming_->mark <= in_force_)
+    serving_ = std::exchange(coming_, nullptr);
 }
 
-EdgeGate::Standing EdgeGate::standing(const std::string& service, const std::string& zone, std::uint64_t brokers) const {
+EdgeGate::Standing EdgeGate::standing(const std::string& service, const std::string& zone,
+                                      std::uint64_t brokers) const {
   const EdgeState* state = serving_->find(service, zone, region_);
-  if (!state) return {};
-  const std::uint64_t drawn = std::hash<std::string>{}(service + "\n" + zone + "\n" + std::to_string(draw_)) % std::max<std::uint64_t>(1, brokers);
-  return {state->verdict, state->percent_kept, state->verdict == EdgeState::Verdict::avoided && drawn < serving_->trial_brokers};
+  if (!state)
+    return {};
+  const std::uint64_t drawn =
+      std::hash<std::string>{}(service + "\n" + zone + "\n" + std::to_string(draw_)) %
+      std::max<std::uint64_t>(1, brokers);
+  return {state->verdict, state->percent_kept,
+          state->verdict == EdgeState::Verdict::avoided && drawn < serving_->trial_brokers};
 }
 
 double EdgeGate::influence(Moment now) const {
-  const double silent = std::chrono::duration<double, std::milli>(now - heard_).count(), fade = static_cast<double>(options_.fade.count());
+  const double silent = std::chrono::duration<double, std::milli>(now - heard_).count(),
+               fade = static_cast<double>(options_.fade.count());
   return std::clamp(2 - 2 * silent / fade, 0.0, 1.0);
 }
 
--- a/src/coordination/edges.h
+++ b/src/coordination/edges.h
@@ -1,8 +1,10 @@
 #pragma once
-// One shared view of how fast each edge answers each region. Brokers count, registries add up, the leader judges, and every
-// broker acts by the same version of the view. Pure: counts and a clock in, a view out.
+// One shared view of how fast each edge answers each region. Brokers count, registries add up, the
+// leader judges, and every broker acts by the same version of the view. Pure: counts and a clock
+// in, a view out.
 //
-// An edge is the backends of one service in one zone; of the service "" it is the brokers of one region that help.
+// An edge is the backends of one service in one zone; of the service "" it is the brokers of one
+// region that help.
 #include <array>
 #include <cstdint>
 #include <map>
@@ -15,7 +17,10 @@
 
 namespace saddlewing {
 
-enum class EdgeClass : std::uint8_t { light, heavy };  // compared each with its own kind alone
+enum class EdgeClass : std::uint8_t {
+  light,
+  heavy
+};  // compared each with its own kind alone
 
 // Answer times in steps of half as much again, from 1 ms to some 11 s.
 inline constexpr std::size_t edge_buckets = 24;
@@ -29,7 +34,8 @@
 };
 struct EdgeCount {
   std::array<std::uint32_t, edge_buckets> times{};
-  std::uint32_t failures = 0;  // without an answer in time; they stand in `times` too, at their least
+  std::uint32_t failures =
+      0;  // without an answer in time; they stand in `times` too, at their least
   double busy_ms = 0;
   void add(double milliseconds, bool has_failed);
   EdgeCount& operator+=(const EdgeCount& other);
@@ -39,14 +45,21 @@
 // What came since it was last taken. Bounded: what is beyond is counted as dropped.
 class EdgeCounts {
  public:
-  explicit EdgeCounts(std::size_t most) : most_(most) {}
+  explicit EdgeCounts(std::size_t most) : most_(most) {
+  }
   void add(const EdgeName& name, double milliseconds, bool has_failed);
   // False: impossible or too many; then nothing of it was added.
   bool merge(const std::string& bytes);
   std::string take();  // as they travel; empty: nothing
-  bool is_empty() const { return rows_.empty(); }
-  std::uint64_t dropped() const { return dropped_; }
-  const std::map<EdgeName, EdgeCount>& rows() const { return rows_; }
+  bool is_empty() const {
+    return rows_.empty();
+  }
+  std::uint64_t dropped() const {
+    return dropped_;
+  }
+  const std::map<EdgeName, EdgeCount>& rows() const {
+    return rows_;
+  }
 
  private:
   std::size_t most_;
@@ -57,20 +70,25 @@
 bool decode_edges(const std::string& bytes, std::size_t most, std::map<EdgeName, EdgeCount>& rows);
 
 struct EdgeState {
-  enum class Verdict : std::uint64_t { allowed, preferred, avoided };
+  enum class Verdict : std::uint64_t {
+    allowed,
+    preferred,
+    avoided
+  };
   std::string service, zone, region;  // region: of the asking brokers
   Verdict verdict{};
-  std::uint64_t percent_kept = 100;   // of its requests, where the others can't carry all of them
+  std::uint64_t percent_kept = 100;  // of its requests, where the others can't carry all of them
   std::string reason;
 };
 const char* name_of(EdgeState::Verdict verdict);
 
 // Immutable, swapped whole. Cells that it does not name are allowed.
 struct EdgeView {
-  std::uint64_t mark = 0;   // term of the leader, and its count: of two views the greater mark holds
+  std::uint64_t mark = 0;  // term of the leader, and its count: of two views the greater mark holds
   std::uint64_t trial_brokers = 2;  // so many of a region try an avoided edge
   std::vector<EdgeState> states;
-  const EdgeState* find(const std::string& service, const std::string& zone, const std::string& region) const;
+  const EdgeState* find(const std::string& service, const std::string& zone,
+                        const std::string& region) const;
 };
 using EdgeSnapshot = std::shared_ptr<const EdgeView>;
 std::string encode_view(const EdgeView& view);
@@ -79,13 +97,16 @@
 struct EdgeOptions {
   bool is_on = false;
   Span half_life{4000};
-  double avoid_times = 3, return_times = 1.5;  // of the best edge's time: beyond the first avoided, within the second back again
+  double avoid_times = 3, return_times = 1.5;  // of the best edge's time: beyond the first avoided,
+                                               // within the second back again
   double least_samples = 20, least_trials = 6;
-  Span least_stay{2000};      // in a state; longer after changes in quick succession
-  double most_way_ms = 60;    // between two edges of a service; what is beyond is slowness, not distance
-  Span most_wait{400};        // for brokers that do not hold a coming view
-  Span fade{10000};           // a broker that hears nothing more goes by its view for half of that, then less and less
-  double most_busy = 0.8;     // of the capacity of those that take the load
+  Span least_stay{2000};  // in a state; longer after changes in quick succession
+  double most_way_ms =
+      60;               // between two edges of a service; what is beyond is slowness, not distance
+  Span most_wait{400};  // for brokers that do not hold a coming view
+  Span fade{10000};     // a broker that hears nothing more goes by its view for half of that, then
+                        // less and less
+  double most_busy = 0.8;  // of the capacity of those that take the load
   std::size_t most_cells = 20000;
 };
 
@@ -94,7 +115,8 @@
 // At the leader.
 class EdgeJudge {
  public:
-  explicit EdgeJudge(EdgeOptions options) : options_(options) {}
+  explicit EdgeJudge(EdgeOptions options) : options_(options) {
+  }
   // What brokers of a region counted. False: impossible or too many.
   bool add(const std::string& region, const std::string& bytes, Moment now);
   // `capacity`: slots of the edge's backends that are UP. Null: the view stays as it is.
@@ -105,12 +127,16 @@
   EdgeSnapshot judge(std::uint64_t term, const std::map<Edge, double>& capacity, Moment now);
   // Of a predecessor: goes on from there. What is older changes nothing.
   bool take(EdgeSnapshot view, Moment now);
-  // The least that each way ever took: from a region to a zone, in milliseconds. A leader hands it to its peers, for an edge
-  // that is slow when the next one starts must not pass for far.
+  // The least that each way ever took: from a region to a zone, in milliseconds. A leader hands it
+  // to its peers, for an edge that is slow when the next one starts must not pass for far.
   using Ways = std::map<std::pair<std::string, std::string>, double>;
-  const Ways& ways() const { return ways_; }
+  const Ways& ways() const {
+    return ways_;
+  }
   void take_ways(const Ways& ways);
-  const EdgeSnapshot& view() const { return view_; }
+  const EdgeSnapshot& view() const {
+    return view_;
+  }
 
   struct Row {  // one cell as operators see it
     std::string service, zone, region;
@@ -147,8 +173,10 @@
     double time_ms = 0, sum = 0, failures = 0;
   };
   Score score(const Place& place, const std::string& zone, double least) const;
-  bool judge_place(const Place& place, const std::map<Edge, double>& room_of, Moment now);  // room_of: slots that an edge could still fill
-  bool set(const Place& place, const std::string& zone, EdgeState::Verdict verdict, std::uint64_t kept, std::string reason, Moment now);
+  bool judge_place(const Place& place, const std::map<Edge, double>& room_of,
+                   Moment now);  // room_of: slots that an edge could still fill
+  bool set(const Place& place, const std::string& zone, EdgeState::Verdict verdict,
+           std::uint64_t kept, std::string reason, Moment now);
 
   EdgeOptions options_;
   std::map<Place, std::map<std::string, std::array<Cell, 2>>> cells_;  // by zone and class
@@ -159,20 +187,29 @@
   EdgeSnapshot view_ = std::make_shared<EdgeView>();
 };
 
-// At a broker. Invariant: the view in force never goes back, and turns only when the leader says that it is in force.
+// At a broker. Invariant: the view in force never goes back, and turns only when the leader says
+// that it is in force.
 class EdgeGate {
  public:
-  EdgeGate(std::string region, std::uint64_t draw, EdgeOptions options) : region_(std::move(region)), draw_(draw), options_(options) {}
+  EdgeGate(std::string region, std::uint64_t draw, EdgeOptions options)
+      : region_(std::move(region)), draw_(draw), options_(options) {
+  }
   bool take(EdgeSnapshot view);
-  void see_in_force(std::uint64_t mark, Moment now);  // told by a registry; also a sign that the view is kept
-  std::uint64_t held() const { return coming_ ? coming_->mark : serving_->mark; }
-  const EdgeSnapshot& serving() const { return serving_; }
+  void see_in_force(std::uint64_t mark,
+                    Moment now);  // told by a registry; also a sign that the view is kept
+  std::uint64_t held() const {
+    return coming_ ? coming_->mark : serving_->mark;
+  }
+  const EdgeSnapshot& serving() const {
+    return serving_;
+  }
   struct Standing {
     EdgeState::Verdict verdict{};
     std::uint64_t percent_kept = 100;
     bool is_trying = false;  // this broker is one of the few that try it
   };
-  Standing standing(const std::string& service, const std::string& zone, std::uint64_t brokers) const;
+  Standing standing(const std::string& service, const std::string& zone,
+                    std::uint64_t brokers) const;
   double influence(Moment now) const;  // 1: the view counts, 0: neutral
 
  private:
--- a/src/coordination/entry_change.cpp
+++ b/src/coordination/entry_change.cpp
@@ -23,19 +23,30 @@
 EntryPiece::Kept compare(const std::string& from, const std::string& to, std::string& middle) {
   EntryPiece::Kept kept;
   const std::size_t most = std::min(from.size(), to.size());
-  kept.prefix = static_cast<std::uint64_t>(std::mismatch(to.begin(), to.begin() + static_cast<std::ptrdiff_t>(most), from.begin()).first - to.begin());
+  kept.prefix = static_cast<std::uint64_t>(
+      std::mismatch(to.begin(), to.begin() + static_cast<std::ptrdiff_t>(most), from.begin())
+          .first -
+      to.begin());
   const std::size_t rest = most - kept.prefix;
-  kept.suffix = static_cast<std::uint64_t>(std::mismatch(to.rbegin(), to.rbegin() + static_cast<std::ptrdiff_t>(rest), from.rbegin()).first - to.rbegin());
+  kept.suffix = static_cast<std::uint64_t>(
+      std::mismatch(to.rbegin(), to.rbegin() + static_cast<std::ptrdiff_t>(rest), from.rbegin())
+          .first -
+      to.rbegin());
   kept.changed = to.size() - kept.prefix - kept.suffix;
   middle.append(to, kept.prefix, kept.changed);
   return kept;
 }
 
 // The other way round; takes its part off the front of `middle`. False: it does not fit.
-bool restore(const EntryPiece::Kept& kept, const std::string& from, std::string_view& middle, std::string& to) {
-  if (kept.prefix > from.size() || kept.suffix > from.size() - kept.prefix || kept.changed > middle.size()) return false;
+bool restore(const EntryPiece::Kept& kept, const std::string& from, std::string_view& middle,
+             std::string& to) {
+  if (kept.prefix > from.size() || kept.suffix > from.size() - kept.prefix ||
+      kept.changed > middle.size())
+    return false;
   to.reserve(kept.prefix + kept.changed + kept.suffix);
-  to.append(from, 0, kept.prefix).append(middle.substr(0, kept.changed)).append(from, from.size() - kept.suffix);
+  to.append(from, 0, kept.prefix)
+      .append(middle.substr(0, kept.changed))
+      .append(from, from.size() - kept.suffix);
   middle.remove_prefix(kept.changed);
   return true;
 }
@@ -50,7 +61,8 @@
 }
 
 bool is_same_change(const EntryPiece& left, const EntryPiece& right) {
-  return left.term == right.term && left.index == right.index && left.base_term == right.base_term && left.base_index == right.base_index &&
+  return left.term == right.term && left.index == right.index &&
+         left.base_term == right.base_term && left.base_index == right.base_index &&
          left.digest == right.digest && left.total == right.total;
 }
 
@@ -59,7 +71,8 @@
 EntryContentSnapshot content_of(EntrySnapshot entry) {
   Writer writer;
   writer.number(entry->sheets.size());
-  for (const auto& [name, text] : entry->sheets) writer.text(name).text(text);
+  for (const auto& [name, text] : entry->sheets)
+    writer.text(name).text(text);
   auto content = std::make_shared<EntryContent>();
   content->entry = std::move(entry);
   content->sheets = writer.take();
@@ -87,7 +100,8 @@
   head.sheets = compare(base ? base->sheets : none, next.sheets, middle);
   std::string packed = middle.size() >= worth_packing ? pack(middle) : std::string();
   const bool should_pack = !packed.empty() && packed.size() < middle.size();
-  change->bytes = std::string(1, should_pack ? is_packed : is_plain) + (should_pack ? packed : middle);
+  change->bytes =
+      std::string(1, should_pack ? is_packed : is_plain) + (should_pack ? packed : middle);
   head.total = change->bytes.size();
   return change;
 }
@@ -99,15 +113,20 @@
   return piece;
 }
 
-EntryAssembly::Step EntryAssembly::take(const EntryPiece& piece, const EntrySnapshot& held, EntrySnapshot& entry) {
-  if (piece.total == 0 || piece.total > most_content || piece.bytes.size() > piece.total || piece.offset > piece.total - piece.bytes.size()) return Step::unusable;
+EntryAssembly::Step EntryAssembly::take(const EntryPiece& piece, const EntrySnapshot& held,
+                                        EntrySnapshot& entry) {
+  if (piece.total == 0 || piece.total > most_content || piece.bytes.size() > piece.total ||
+      piece.offset > piece.total - piece.bytes.size())
+    return Step::unusable;
   if (!is_same_change(piece, head_)) {
-    if (piece.offset != 0) return Step::more;  // its beginning did not come: it is sent again from there
+    if (piece.offset != 0)
+      return Step::more;  // its beginning did not come: it is sent again from there
     head_ = piece;
     head_.bytes.clear();
     bytes_.clear();
   }
-  if (piece.offset > bytes_.size() || piece.offset + piece.bytes.size() <= bytes_.size()) return Step::more;
+  if (piece.offset > bytes_.size() || piece.offset + piece.bytes.size() <= bytes_.size())
+    return Step::more;
   bytes_.append(piece.bytes, bytes_.size() - piece.offset);
   return bytes_.size() < head_.total ? Step::more : finish(held, entry);
 }
@@ -117,18 +136,23 @@
   const EntryPiece head = std::exchange(head_, {});
   std::string middle;
   if (travelled[0] == is_packed) {
-    if (!unpack(travelled.substr(1), most_content, middle)) return ++mismatches_, Step::unusable;
+    if (!unpack(travelled.substr(1), most_content, middle))
+      return ++mismatches_, Step::unusable;
   } else {
     middle = travelled.substr(1);
   }
   const bool has_base = head.base_index.value || head.base_term.value;
-  if (has_base && (held->term != head.base_term || held->index != head.base_index)) return Step::unusable;
+  if (has_base && (held->term != head.base_term || held->index != head.base_index))
+    return Step::unusable;
   const EntryContentSnapshot base = content_of(has_base ? held : std::make_shared<const Entry>());
   auto read = std::make_shared<Entry>();
   std::string sheets;
   std::string_view rest = middle;
-  const bool is_restored = restore(head.body, base->entry->body, rest, read->body) && restore(head.sheets, has_base ? base->sheets : std::string(), rest, sheets);
-  if (!is_restored || digest_of(read->body, sheets) != head.digest || !read_sheets(sheets, *read)) return ++mismatches_, Step::unusable;
+  const bool is_restored =
+      restore(head.body, base->entry->body, rest, read->body) &&
+      restore(head.sheets, has_base ? base->sheets : std::string(), rest, sheets);
+  if (!is_restored || digest_of(read->body, sheets) != head.digest || !read_sheets(sheets, *read))
+    return ++mismatches_, Step::unusable;
   read->term = head.term;
   read->index = head.index;
   read->version = head.version;
--- a/src/coordination/entry_change.h
+++ b/src/coordination/entry_change.h
@@ -8,14 +8,17 @@
 
 namespace saddlewing {
 
-inline constexpr std::size_t piece_bytes = 16384;  // on the narrowest links a beat waits behind few of them
+inline constexpr std::size_t piece_bytes =
+    16384;  // on the narrowest links a beat waits behind few of them
 inline constexpr std::size_t most_content = 64u << 20;
 
 // An entry with its content as bytes, kept to find what later entries change.
 struct EntryContent {
   EntrySnapshot entry;
   std::string sheets;  // as they travel
-  std::size_t size() const { return entry->body.size() + sheets.size(); }
+  std::size_t size() const {
+    return entry->body.size() + sheets.size();
+  }
 };
 using EntryContentSnapshot = std::shared_ptr<const EntryContent>;
 EntryContentSnapshot content_of(EntrySnapshot entry);
@@ -30,16 +33,27 @@
 // `base`: null if the receiver holds nothing that is known here.
 EntryChangeSnapshot make_change(const EntryContent& next, const EntryContent* base);
 
-// At the receiver: the entry that is on its way. Invariant: bytes_ are the first of one change, with no gap.
+// At the receiver: the entry that is on its way. Invariant: bytes_ are the first of one change,
+// with no gap.
 class EntryAssembly {
  public:
-  enum class Step { more, whole, unusable };
-  // `held`: the receiver's own last entry. Whole: `entry` is the new one, proved by its digest. Unusable: it builds on another
-  // entry, or does not match its digest.
+  enum class Step {
+    more,
+    whole,
+    unusable
+  };
+  // `held`: the receiver's own last entry. Whole: `entry` is the new one, proved by its digest.
+  // Unusable: it builds on another entry, or does not match its digest.
   Step take(const EntryPiece& piece, const EntrySnapshot& held, EntrySnapshot& entry);
-  Index index() const { return head_.index; }
-  std::uint64_t size() const { return bytes_.size(); }
-  std::uint64_t mismatches() const { return mismatches_; }
+  Index index() const {
+    return head_.index;
+  }
+  std::uint64_t size() const {
+    return bytes_.size();
+  }
+  std::uint64_t mismatches() const {
+    return mismatches_;
+  }
 
  private:
   Step finish(const EntrySnapshot& held, EntrySnapshot& entry);
--- a/src/coordination/errand.cpp
+++ b/src/coordination/errand.cpp
@@ -8,45 +8,66 @@
 namespace saddlewing {
 namespace {
 
-constexpr Span way_back{15};      // kept for the answer's way to the client
-constexpr Span answer_way{10};    // the same for an answer with parts left out, which misses its aim at worst
-constexpr int further_from = 45;  // per cent of the aim: parts that come a little late need no second asking
-constexpr Span hold_step{5};      // while every connection allowed is in use
-constexpr int most_missed = 4;    // askings that reached nobody, per part
+constexpr Span way_back{15};  // kept for the answer's way to the client
+constexpr Span answer_way{
+    10};  // the same for an answer with parts left out, which misses its aim at worst
+constexpr int further_from =
+    45;  // per cent of the aim: parts that come a little late need no second asking
+constexpr Span hold_step{5};    // while every connection allowed is in use
+constexpr int most_missed = 4;  // askings that reached nobody, per part
 
-bool is_promise(int status) { return status == 408 || status == 421 || status == 429 || status == 503; }
+bool is_promise(int status) {
+  return status == 408 || status == 421 || status == 429 || status == 503;
+}
 
 }  // namespace
 
 Errand::Errand(Ground& ground, TableSnapshot table, const Rule& rule, Moment began, Span time_left)
-    : ground_(ground), table_(std::move(table)), rule_(rule), began_(began),
+    : ground_(ground),
+      table_(std::move(table)),
+      rule_(rule),
+      began_(began),
       deadline_(began + std::max(Span(1), std::min(time_left, rule.give_up) - way_back)),
-      prompt_(std::min(began + std::max(rule.target - answer_way, rule.target / 2), deadline_ - 1ms)), due_(deadline_),
-      best_(static_cast<std::size_t>(std::max(1, rule.best_count))) {}
+      prompt_(
+          std::min(began + std::max(rule.target - answer_way, rule.target / 2), deadline_ - 1ms)),
+      due_(deadline_),
+      best_(static_cast<std::size_t>(std::max(1, rule.best_count))) {
+}
 
-void Errand::start(Moment now) { begin(nullptr, now); }
-void Errand::start_again(const Errand& before, Moment now) { begin(&before, now); }
+void Errand::start(Moment now) {
+  begin(nullptr, now);
+}
+void Errand::start_again(const Errand& before, Moment now) {
+  begin(&before, now);
+}
 
 void Errand::begin(const Errand* before, Moment now) {
   if (is_gathering()) {
-    for (const ServiceIndex shard : rule_.shards) parts_.emplace_back().service = shard;
+    for (const ServiceIndex shard : rule_.shards)
+      parts_.emplace_back().service = shard;
   } else {
     double left = ground_.draw() * rule_.weight_sum;
     ServiceIndex chosen = rule_.shares.back().service;
     for (const Share& share : rule_.shares) {
-      if (share.weight > 0) chosen = share.service;
-      if ((left -= share.weight) < 0) break;
+      if (share.weight > 0)
+        chosen = share.service;
+      if ((left -= share.weight) < 0)
+        break;
     }
     parts_.emplace_back().service = chosen_.value_or(chosen);
   }
   for (Part& part : parts_) {
     const std::string& name = table_->configuration->services[part.service.value].name;
     Budget& budget = ground_.budget(name);
-    if (before) budget.count_extra(now);
-    else budget.count_request(now);
-    if (!before) continue;
+    if (before)
+      budget.count_extra(now);
+    else
+      budget.count_request(now);
+    if (!before)
+      continue;
     for (const Part& earlier : before->parts_)  // of a gathering the tries are each shard's own
-      if (!is_gathering() || before->table_->configuration->services[earlier.service.value].name == name)
+      if (!is_gathering() ||
+          before->table_->configuration->services[earlier.service.value].name == name)
         part.before += earlier.before + earlier.sent - earlier.refused;
   }
   // A shard without any backend decides the outcome before anything runs.
@@ -54,7 +75,8 @@
   for (const Part& part : parts_) {
     const auto& backends = table_->by_service[part.service.value];
     empty += std::none_of(backends.begin(), backends.end(), [](const BackendPointer& backend) {
-      return !backend->is_cancelled && (backend->status == Status::up || backend->status == Status::starting);
+      return !backend->is_cancelled &&
+             (backend->status == Status::up || backend->status == Status::starting);
     });
   }
   const double share = 1 - static_cast<double>(empty) / static_cast<double>(parts_.size());
@@ -63,25 +85,35 @@
     return finish_failed(now);
   }
   state_ = State::asking;
-  if (is_gathering()) start_aid(now);
+  if (is_gathering())
+    start_aid(now);
   for (std::size_t index = 0; index < parts_.size() && is_open(); ++index)
-    if (!parts_[index].is_aided) ask(index, false, now);
-  if (is_open()) consider(now);
+    if (!parts_[index].is_aided)
+      ask(index, false, now);
+  if (is_open())
+    consider(now);
 }
 
 bool Errand::may_restart(std::size_t turned_away, Moment now) {
-  if (!is_open() || now >= deadline_ - way_back) return false;
-  const bool is_at_work = std::any_of(parts_.begin(), parts_.end(), [](const Part& part) { return part.active > 1; });
-  if (!rule_.is_harmless && (has_run_ || is_at_work)) return false;  // the asking that was turned away is still counted as active
+  if (!is_open() || now >= deadline_ - way_back)
+    return false;
+  const bool is_at_work =
+      std::any_of(parts_.begin(), parts_.end(), [](const Part& part) { return part.active > 1; });
+  if (!rule_.is_harmless && (has_run_ || is_at_work))
+    return false;  // the asking that was turned away is still counted as active
   const double reserve = ground_.reserve(now);
   return std::all_of(parts_.begin(), parts_.end(), [&](const Part& part) {
-    const int may_have_run = part.before + part.sent - part.refused - (&part == &parts_[turned_away]);
-    return may_have_run < rule_.tries && ground_.budget(table_->configuration->services[part.service.value].name).allows_extra(now, reserve);
+    const int may_have_run =
+        part.before + part.sent - part.refused - (&part == &parts_[turned_away]);
+    return may_have_run < rule_.tries &&
+           ground_.budget(table_->configuration->services[part.service.value].name)
+               .allows_extra(now, reserve);
   });
 }
 
 bool Errand::may_ask_again(const Part& part) const {
-  return !part.is_done && !part.is_failed && part.before + part.sent < rule_.tries && part.missed < most_missed;
+  return !part.is_done && !part.is_failed && part.before + part.sent < rule_.tries &&
+         part.missed < most_missed;
 }
 
 void Errand::ask(std::size_t index, bool is_further, Moment now) {
@@ -89,18 +121,23 @@
   const auto& service = table_->configuration->services[part.service.value];
   const bool is_extra = part.sent > 0;
   if (is_extra && !ground_.budget(service.name).allows_extra(now, ground_.reserve(now))) {
-    if (!part.active) fail_part(part, worst_ == Kind::none ? Kind::turned_away : worst_, now);
+    if (!part.active)
+      fail_part(part, worst_ == Kind::none ? Kind::turned_away : worst_, now);
     return;
   }
   const auto& backends = table_->by_service[part.service.value];
   const PickWish wish = ground_.wish(*this, service.name, now);
   PickResult picked = ground_.pick(backends, part.tried, service.most_connections, now, wish);
   if (!picked.backend && !picked.is_full && !is_further && !part.tried.empty() && !part.active)
-    picked = ground_.pick(backends, {}, service.most_connections, now, wish);  // nobody else is left: the same once more
+    picked = ground_.pick(backends, {}, service.most_connections, now,
+                          wish);  // nobody else is left: the same once more
   if (!picked.backend) {
-    if (is_further || part.active) return;
-    if (!picked.is_full) return fail_part(part, Kind::nobody_up, now);
-    if (!is_gathering() && now - began_ > rule_.target / 4) return fail_part(part, Kind::overloaded, now);
+    if (is_further || part.active)
+      return;
+    if (!picked.is_full)
+      return fail_part(part, Kind::nobody_up, now);
+    if (!is_gathering() && now - began_ > rule_.target / 4)
+      return fail_part(part, Kind::overloaded, now);
     part.asked = {};
     state_ = State::holding;
     return;
@@ -108,8 +145,10 @@
   part.tried.push_back(picked.backend);
   if (!ground_.ask(*this, index, *picked.backend, now)) {
     ++part.missed;
-    if (!is_further && may_ask_again(part)) ask(index, false, now);
-    else if (!part.active) fail_part(part, Kind::refused_connection, now);
+    if (!is_further && may_ask_again(part))
+      ask(index, false, now);
+    else if (!part.active)
+      fail_part(part, Kind::refused_connection, now);
     return;
   }
   if (is_extra) {
@@ -124,26 +163,35 @@
 }
 
 void Errand::fail_part(Part& part, Kind kind, Moment) {
-  if (part.is_failed || part.is_done) return;
+  if (part.is_failed || part.is_done)
+    return;
   part.is_failed = true;
   ++failed_;
-  if (worst_ == Kind::none || status_of(worst_).status == 503) worst_ = kind;
+  if (worst_ == Kind::none || status_of(worst_).status == 503)
+    worst_ = kind;
 }
 
 void Errand::take_outcome(std::size_t index, BackendOutcome outcome, Span took, Moment now) {
-  if (!is_open()) return;
+  if (!is_open())
+    return;
   Part& part = parts_[index];
   --part.active;
-  if (part.is_done || part.is_failed) return;
+  if (part.is_done || part.is_failed)
+    return;
   const bool is_success = outcome.status >= 200 && outcome.status < 300 && !outcome.is_not_run;
-  if (!outcome.is_not_run) has_run_ = true;
-  else ++part.refused;
+  if (!outcome.is_not_run)
+    has_run_ = true;
+  else
+    ++part.refused;
   if (is_success) {
     ground_.pace(rule_).see(static_cast<double>(took.count()));
     weigh(part, took);
     part.is_done = true;
     ++done_;
-    if (!is_gathering()) return finish({Kind::none, outcome.status, std::move(outcome.reason), std::move(outcome.fields), std::move(outcome.body), Span(0)}, now);
+    if (!is_gathering())
+      return finish({Kind::none, outcome.status, std::move(outcome.reason),
+                     std::move(outcome.fields), std::move(outcome.body), Span(0)},
+                    now);
     part.seal = std::move(outcome.seal);
     best_.add(outcome.body);
     return consider(now);
@@ -154,130 +202,187 @@
     return consider(now);
   }
   if (!is_gathering() && !outcome.is_not_run) {
-    // A client's own mistake (4xx) is the same everywhere; only a backend's failure is worth another.
+    // A client's own mistake (4xx) is the same everywhere; only a backend's failure is worth
+    // another.
     if (outcome.status < 500 || !rule_.is_harmless)
-      return finish({Kind::none, outcome.status, std::move(outcome.reason), std::move(outcome.fields), std::move(outcome.body), Span(0)}, now);
+      return finish({Kind::none, outcome.status, std::move(outcome.reason),
+                     std::move(outcome.fields), std::move(outcome.body), Span(0)},
+                    now);
     last_ = std::make_unique<BackendOutcome>(std::move(outcome));
   }
   if (!part.active) {
-    if (may_ask_again(part)) ask(index, false, now);
-    else fail_part(part, outcome.is_not_run ? Kind::turned_away : Kind::garbled, now);
+    if (may_ask_again(part))
+      ask(index, false, now);
+    else
+      fail_part(part, outcome.is_not_run ? Kind::turned_away : Kind::garbled, now);
   }
-  if (is_open()) consider(now);
+  if (is_open())
+    consider(now);
 }
 
 void Errand::take_breakdown(std::size_t index, Kind kind, bool may_have_run, Moment now) {
-  if (!is_open()) return;
+  if (!is_open())
+    return;
   Part& part = parts_[index];
   --part.active;
-  if (may_have_run) has_run_ = true;
-  else --part.sent, ++part.missed;
-  if (part.is_done || part.is_failed) return;
-  if (may_have_run && !rule_.is_harmless) fail_part(part, kind, now);
+  if (may_have_run)
+    has_run_ = true;
+  else
+    --part.sent, ++part.missed;
+  if (part.is_done || part.is_failed)
+    return;
+  if (may_have_run && !rule_.is_harmless)
+    fail_part(part, kind, now);
   else if (!part.active) {
-    if (may_ask_again(part)) ask(index, false, now);
-    else fail_part(part, kind, now);
+    if (may_ask_again(part))
+      ask(index, false, now);
+    else
+      fail_part(part, kind, now);
   }
-  if (is_open()) consider(now);
+  if (is_open())
+    consider(now);
 }
 
 // After how long without an outcome a second backend is asked, going by the rule's parts at large.
 Span Errand::further_delay() const {
   const Pace& pace = ground_.pace(rule_);
-  if (pace.mean_ms == 0) return std::max(rule_.target / 2, Span(20));
+  if (pace.mean_ms == 0)
+    return std::max(rule_.target / 2, Span(20));
   const Span usual(static_cast<std::int64_t>(std::ceil(pace.mean_ms + 4 * pace.deviation_ms)));
   return std::clamp(usual, Span(20), std::max(rule_.target / 2, Span(20)));
 }
 
 // A request that is heavy for one shard is heavy for all: going by the parts that are in.
 Span Errand::further_delay(const Part& part) const {
-  if (!weighed_ || part.span_ms <= 0) return further_delay();
+  if (!weighed_ || part.span_ms <= 0)
+    return further_delay();
   const double weight = std::max(1.0, weight_sum_ / static_cast<double>(weighed_));
-  const Span usual(static_cast<std::int64_t>(std::ceil(part.base_ms + part.span_ms * weight * 1.6 + 12)));
-  return std::clamp(usual, std::max(rule_.target * further_from / 100, Span(20)), std::max(rule_.target, Span(20)));
+  const Span usual(
+      static_cast<std::int64_t>(std::ceil(part.base_ms + part.span_ms * weight * 1.6 + 12)));
+  return std::clamp(usual, std::max(rule_.target * further_from / 100, Span(20)),
+                    std::max(rule_.target, Span(20)));
 }
 
 void Errand::weigh(const Part& part, Span took) {
-  if (part.span_ms <= 0) return;
-  weight_sum_ += std::clamp((static_cast<double>(took.count()) - part.base_ms) / part.span_ms, 0.2, 8.0);
+  if (part.span_ms <= 0)
+    return;
+  weight_sum_ +=
+      std::clamp((static_cast<double>(took.count()) - part.base_ms) / part.span_ms, 0.2, 8.0);
   ++weighed_;
 }
 
 void Errand::on_due(Moment now) {
-  if (!is_open()) return;
+  if (!is_open())
+    return;
   if (now >= deadline_) {
-    if (worst_ == Kind::none || status_of(worst_).status == 503) worst_ = has_run_ || done_ || state_ != State::holding ? Kind::deadline_reached : Kind::overloaded;
-    if (is_gathering() && static_cast<double>(done_) >= rule_.fewest_parts * static_cast<double>(parts_.size()) && done_) return finish_gathered(now);
+    if (worst_ == Kind::none || status_of(worst_).status == 503)
+      worst_ =
+          has_run_ || done_ || state_ != State::holding ? Kind::deadline_reached : Kind::overloaded;
+    if (is_gathering() &&
+        static_cast<double>(done_) >= rule_.fewest_parts * static_cast<double>(parts_.size()) &&
+        done_)
+      return finish_gathered(now);
     return finish_failed(now);
   }
-  if (state_ == State::holding) state_ = State::asking;
-  if (is_aid_awaited_) give_up_aid(now);
+  if (state_ == State::holding)
+    state_ = State::asking;
+  if (is_aid_awaited_)
+    give_up_aid(now);
   for (std::size_t index = 0; index < parts_.size() && is_open(); ++index) {
     Part& part = parts_[index];
-    if (part.is_done || part.is_failed || (part.is_aided && is_aid_awaited_)) continue;
-    if (!part.active) ask(index, false, now);
-    else if (rule_.is_harmless && part.active == 1 && now - part.asked >= further_delay(part) && may_ask_again(part)) ask(index, true, now);
+    if (part.is_done || part.is_failed || (part.is_aided && is_aid_awaited_))
+      continue;
+    if (!part.active)
+      ask(index, false, now);
+    else if (rule_.is_harmless && part.active == 1 && now - part.asked >= further_delay(part) &&
+             may_ask_again(part))
+      ask(index, true, now);
   }
-  if (is_open()) consider(now);
+  if (is_open())
+    consider(now);
 }
 
 void Errand::on_turn(Moment now) {
   is_waiting_turn_ = false;
-  if (!is_open() || now >= deadline_) return;
-  if (state_ == State::holding) state_ = State::asking;
+  if (!is_open() || now >= deadline_)
+    return;
+  if (state_ == State::holding)
+    state_ = State::asking;
   for (std::size_t index = 0; index < parts_.size() && is_open(); ++index)
-    if (Part& part = parts_[index]; !part.is_done && !part.is_failed && !part.active) ask(index, false, now);
-  if (is_open()) consider(now);
+    if (Part& part = parts_[index]; !part.is_done && !part.is_failed && !part.active)
+      ask(index, false, now);
+  if (is_open())
+    consider(now);
 }
 
 // Decides whether the outcome is there, can still come, or is lost.
 void Errand::consider(Moment now) {
-  if (state_ == State::asking) state_ = State::gathering;
+  if (state_ == State::asking)
+    state_ = State::gathering;
   const std::size_t total = parts_.size();
-  if (done_ == total) return finish_gathered(now);
+  if (done_ == total)
+    return finish_gathered(now);
   const auto is_enough = [&](std::size_t count) {
-    return count > 0 && static_cast<double>(count) >= rule_.fewest_parts * static_cast<double>(total) - 1e-9;
+    return count > 0 &&
+           static_cast<double>(count) >= rule_.fewest_parts * static_cast<double>(total) - 1e-9;
   };
   if (!is_gathering()) {
-    if (failed_) return finish_failed(now);
+    if (failed_)
+      return finish_failed(now);
   } else {
-    if (!is_enough(total - failed_)) return finish_failed(now);
-    if (done_ + failed_ == total || (now >= prompt_ && is_enough(done_))) return finish_gathered(now);
+    if (!is_enough(total - failed_))
+      return finish_failed(now);
+    if (done_ + failed_ == total || (now >= prompt_ && is_enough(done_)))
+      return finish_gathered(now);
   }
   plan(now);
 }
 
 void Errand::plan(Moment now) {
   due_ = deadline_;
-  if (is_gathering() && now < prompt_) due_ = prompt_;
+  if (is_gathering() && now < prompt_)
+    due_ = prompt_;
   for (const Part& part : parts_) {
-    if (part.is_done || part.is_failed) continue;
-    if (!part.active && (is_waiting_turn_ || (is_waiting_turn_ = ground_.wait_turn(*this, now)))) continue;
-    if (!part.active) due_ = std::min(due_, now + hold_step);
+    if (part.is_done || part.is_failed)
+      continue;
+    if (!part.active && (is_waiting_turn_ || (is_waiting_turn_ = ground_.wait_turn(*this, now))))
+      continue;
+    if (!part.active)
+      due_ = std::min(due_, now + hold_step);
     else if (rule_.is_harmless && part.active == 1 && may_ask_again(part))
-      if (const Moment further = part.asked + further_delay(part); further > now) due_ = std::min(due_, further);
+      if (const Moment further = part.asked + further_delay(part); further > now)
+        due_ = std::min(due_, further);
   }
 }
 
 void Errand::finish_gathered(Moment now) {
   std::string seals;
   for (const Part& part : parts_)
-    if (part.is_done) (seals += seals.empty() ? "" : ", ") += part.seal;
+    if (part.is_done)
+      (seals += seals.empty() ? "" : ", ") += part.seal;
   FinalAnswer answer;
-  if (done_ < parts_.size()) metrics().add(Metric::answers_partial);
-  answer.fields = "Part-Seals: " + seals + "\r\nParts-Missing: " + std::to_string(parts_.size() - done_) + "\r\n";
+  if (done_ < parts_.size())
+    metrics().add(Metric::answers_partial);
+  answer.fields = "Part-Seals: " + seals +
+                  "\r\nParts-Missing: " + std::to_string(parts_.size() - done_) + "\r\n";
   answer.body = best_.take();
   finish(std::move(answer), now);
 }
 
 void Errand::finish_failed(Moment now) {
-  if (last_) return finish({Kind::none, last_->status, std::move(last_->reason), std::move(last_->fields), std::move(last_->body), Span(0)}, now);
+  if (last_)
+    return finish({Kind::none, last_->status, std::move(last_->reason), std::move(last_->fields),
+                   std::move(last_->body), Span(0)},
+                  now);
   FinalAnswer answer;
   answer.kind = worst_;
   // 503 promises that nothing ran and nothing will: an asking still at work forbids it.
-  const bool is_at_work = std::any_of(parts_.begin(), parts_.end(), [](const Part& part) { return part.active > 0; });
-  if (status_of(worst_).status == 503 && (has_run_ || is_at_work || done_)) answer.kind = is_at_work ? Kind::deadline_reached : Kind::broke_off;
-  if (status_of(answer.kind).status == 503) answer.retry_after = Span(300);
+  const bool is_at_work =
+      std::any_of(parts_.begin(), parts_.end(), [](const Part& part) { return part.active > 0; });
+  if (status_of(worst_).status == 503 && (has_run_ || is_at_work || done_))
+    answer.kind = is_at_work ? Kind::deadline_reached : Kind::broke_off;
+  if (status_of(answer.kind).status == 503)
+    answer.retry_after = Span(300);
   finish(std::move(answer), now);
 }
 
--- a/src/coordination/failover.h
+++ b/src/coordination/failover.h
@@ -1,7 +1,7 @@
 #pragma once
-// Who leads each database, decided by the leader of the core. Pure: beats, evidence, outcomes and a clock in; orders to
-// databases, calls of duty and proposals out. Every step can be done again: what is agreed is in the table of leads, and
-// the rest is asked from the databases.
+// Who leads each database, decided by the leader of the core. Pure: beats, evidence, outcomes and a
+// clock in; orders to databases, calls of duty and proposals out. Every step can be done again:
+// what is agreed is in the table of leads, and the rest is asked from the databases.
 //
 //   led -> closing -> raising -> led        closing -> led, if the old leader is there after all
 #include <cstdint>
@@ -21,7 +21,8 @@
 struct FailoverOptions {
   Span beat_every{1200};  // of backends
   Span hold{3000};        // of poolers on the table of leads
-  Span settle{4000};      // a new leader of the core waits this long for what its forerunner gave or asked
+  Span settle{
+      4000};  // a new leader of the core waits this long for what its forerunner gave or asked
   Span ask_again{150};    // of a database that did not answer
   Span late_raise{4000};  // a call of duty without an answer may take effect until then
 };
@@ -29,9 +30,9 @@
 // A backend as the failover sees it.
 struct DatabaseSeat {
   std::string id, service, locality;
-  bool is_leader = false;    // as it says itself
-  bool is_ready = false;     // not emptying
-  Moment beaten{};           // when it was last heard
+  bool is_leader = false;  // as it says itself
+  bool is_ready = false;   // not emptying
+  Moment beaten{};         // when it was last heard
 };
 
 class Failover {
@@ -51,18 +52,25 @@
     std::vector<std::string> news;      // for the log
   };
 
-  explicit Failover(FailoverOptions options) : options_(options), holders_(options.hold, options.settle) {}
+  explicit Failover(FailoverOptions options)
+      : options_(options), holders_(options.hold, options.settle) {
+  }
 
   // `is_leading`: leads the core under a lease. `table`: as committed.
-  void tick(bool is_leading, const LeadTable& table, const std::map<std::string, int>& services, const std::vector<DatabaseSeat>& seats, Moment now);
+  void tick(bool is_leading, const LeadTable& table, const std::map<std::string, int>& services,
+            const std::vector<DatabaseSeat>& seats, Moment now);
   Output take();
   void finish_order(std::uint64_t token, std::optional<DatabaseStatus> status, Moment now);
   void finish_raise(std::uint64_t token, int status, Moment now);  // 0: no answer
-  void finish_proposal() { is_proposing_ = false; }                // agreed or not: the table tells
+  void finish_proposal() {
+    is_proposing_ = false;
+  }  // agreed or not: the table tells
 
-  // Holds. A grant is for the whole table; nobody else is promoted before it was given back or ran out.
-  void note_pooler(const std::string& from, LifeId life, std::uint64_t mark, const std::string& locality, const std::string& failing,
-                   const std::string& fine, Moment now);
+  // Holds. A grant is for the whole table; nobody else is promoted before it was given back or ran
+  // out.
+  void note_pooler(const std::string& from, LifeId life, std::uint64_t mark,
+                   const std::string& locality, const std::string& failing, const std::string& fine,
+                   Moment now);
   std::optional<Span> grant(const std::string& from, LifeId life, Moment now);
 
  private:
@@ -73,10 +81,11 @@
   };
   struct Case {  // of one service under change; forgotten with the lead of the core
     Moment since{}, asked_since{}, step_due{}, raised{};  // asked_since: of the databases
-    Moment answered{};  // when a database last answered
+    Moment answered{};                                    // when a database last answered
     std::map<std::string, DatabaseStatus> statuses;
     std::set<std::string> asked;
-    bool was_raised = false, is_refused = false, is_taken = false, is_asking = false;  // is_asking: a call of duty is under way
+    bool was_raised = false, is_refused = false, is_taken = false,
+         is_asking = false;    // is_asking: a call of duty is under way
     std::uint64_t number = 0;  // of the lead it belongs to
     Lead::Phase phase{};
     std::uint64_t term_before = 0;
@@ -92,7 +101,8 @@
   void watch(const Lead& lead, const Seats& seats, Moment now);
   void close(const Lead& lead, int sync, const Seats& seats, Moment now);
   void raise(const Lead& lead, const Seats& seats, Moment now);
-  void ask(const std::string& service, const std::string& id, const std::string& text, bool is_step_down);
+  void ask(const std::string& service, const std::string& id, const std::string& text,
+           bool is_step_down);
   void change(Lead lead, const std::string& news);
   bool is_given_up(std::size_t place, Moment now, bool& is_unseen) const;
 
@@ -105,7 +115,7 @@
   std::map<std::string, Witness> witnesses_;  // by inner address
   std::map<std::string, Case> cases_;
   std::map<std::uint64_t, Pending> pending_;
-  std::map<std::string, Moment> stepped_;  // when a false leader was last told
+  std::map<std::string, Moment> stepped_;       // when a false leader was last told
   std::map<std::string, std::uint64_t> terms_;  // of each service's log, as last seen of its leader
   std::uint64_t last_token_ = 0;
   Output output_;
--- a/src/coordination/grants.h
+++ b/src/coordination/grants.h
@@ -1,5 +1,6 @@
 #pragma once
-// The common reserve of further tries, granted by the leader of the core in equal slots for a stated span. Pure.
+// The common reserve of further tries, granted by the leader of the core in equal slots for a
+// stated span. Pure.
 #include <algorithm>
 #include <cstdint>
 #include <map>
@@ -9,12 +10,14 @@
 
 namespace saddlewing {
 
-// Invariant: at any moment the slots that somebody may still hold, or may have used within the last window, are no more
-// than there are. A slot belongs to one life of a broker and comes free a window after its grant ran out; a new leader
-// grants nothing before the grants of its forerunner must have come free.
+// Invariant: at any moment the slots that somebody may still hold, or may have used within the last
+// window, are no more than there are. A slot belongs to one life of a broker and comes free a
+// window after its grant ran out; a new leader grants nothing before the grants of its forerunner
+// must have come free.
 class Grants {
  public:
-  Grants(int reserve, Span valid, Span window) : reserve_(reserve), valid_(valid), window_(window) {}
+  Grants(int reserve, Span valid, Span window) : reserve_(reserve), valid_(valid), window_(window) {
+  }
 
   void lead(bool is_leading, Moment now) {
     if (is_leading && !is_leading_) {
@@ -23,19 +26,29 @@
     }
     is_leading_ = is_leading;
   }
-  // What this life of a broker may use, valid for `valid` from now; 0 while there is no slot for it.
+  // What this life of a broker may use, valid for `valid` from now; 0 while there is no slot for
+  // it.
   double grant(const std::string& broker, LifeId life, std::size_t brokers, Moment now) {
-    if (!is_leading_ || now < quiet_until_ || reserve_ <= 0) return 0;
-    std::erase_if(slots_, [&](const auto& slot) { return now > slot.second + valid_ + window_ * 2; });
-    // The number of slots is set anew only while none is taken: it leaves room for as many brokers again.
-    if (slots_.empty()) most_slots_ = std::max<std::size_t>(4, brokers * 2);
+    if (!is_leading_ || now < quiet_until_ || reserve_ <= 0)
+      return 0;
+    std::erase_if(slots_,
+                  [&](const auto& slot) { return now > slot.second + valid_ + window_ * 2; });
+    // The number of slots is set anew only while none is taken: it leaves room for as many brokers
+    // again.
+    if (slots_.empty())
+      most_slots_ = std::max<std::size_t>(4, brokers * 2);
     const auto key = std::pair(broker, life.value);
-    if (!slots_.contains(key) && slots_.size() >= most_slots_) return 0;
+    if (!slots_.contains(key) && slots_.size() >= most_slots_)
+      return 0;
     slots_[key] = now;
     return static_cast<double>(reserve_) / static_cast<double>(most_slots_);
   }
-  std::size_t taken() const { return slots_.size(); }
-  Span valid() const { return valid_; }
+  std::size_t taken() const {
+    return slots_.size();
+  }
+  Span valid() const {
+    return valid_;
+  }
 
  private:
   int reserve_;
@@ -53,7 +66,9 @@
     amount_ = amount;
     until_ = now + valid;
   }
-  double part(Moment now) const { return now < until_ ? amount_ : 0; }
+  double part(Moment now) const {
+    return now < until_ ? amount_ : 0;
+  }
 
  private:
   double amount_ = 0;
--- a/src/coordination/merge.h
+++ b/src/coordination/merge.h
@@ -12,21 +12,26 @@
 class BestRecords {
  public:
   static constexpr std::size_t record_size = 16;
-  explicit BestRecords(std::size_t most) : most_(most) {}
+  explicit BestRecords(std::size_t most) : most_(most) {
+  }
 
   void add(std::string_view body) {
     for (std::size_t at = 0; at + record_size <= body.size(); at += record_size) {
       const Record record = read(body.data() + at);
-      if (is_full_ && !(floor_ < record)) continue;
+      if (is_full_ && !(floor_ < record))
+        continue;
       kept_.push_back(record);
-      if (kept_.size() >= most_ * 2 + 64) cut();
+      if (kept_.size() >= most_ * 2 + 64)
+        cut();
     }
   }
   std::string take() {
     cut();
-    std::sort(kept_.begin(), kept_.end(), [](const Record& left, const Record& right) { return right < left; });
+    std::sort(kept_.begin(), kept_.end(),
+              [](const Record& left, const Record& right) { return right < left; });
     std::string bytes(kept_.size() * record_size, '\0');
-    for (std::size_t at = 0; at < kept_.size(); ++at) write(kept_[at], bytes.data() + at * record_size);
+    for (std::size_t at = 0; at < kept_.size(); ++at)
+      write(kept_[at], bytes.data() + at * record_size);
     return bytes;
   }
 
@@ -34,9 +39,13 @@
   // Compared byte by byte, so the first byte weighs most.
   struct Record {
     std::uint64_t high, low;
-    bool operator<(const Record& other) const { return high != other.high ? high < other.high : low < other.low; }
+    bool operator<(const Record& other) const {
+      return high != other.high ? high < other.high : low < other.low;
+    }
   };
-  static std::uint64_t swap(std::uint64_t value) { return __builtin_bswap64(value); }
+  static std::uint64_t swap(std::uint64_t value) {
+    return __builtin_bswap64(value);
+  }
   static Record read(const char* bytes) {
     Record record;
     std::memcpy(&record.high, bytes, 8);
@@ -49,8 +58,10 @@
     std::memcpy(bytes + 8, &low, 8);
   }
   void cut() {
-    if (kept_.size() < most_) return;
-    std::nth_element(kept_.begin(), kept_.begin() + static_cast<std::ptrdiff_t>(most_ - 1), kept_.end(),
+    if (kept_.size() < most_)
+      return;
+    std::nth_element(kept_.begin(), kept_.begin() + static_cast<std::ptrdiff_t>(most_ - 1),
+                     kept_.end(),
                      [](const Record& left, const Record& right) { return right < left; });
     kept_.resize(most_);
     floor_ = kept_.back();
@@ -59,7 +70,7 @@
 
   std::size_t most_;
   std::vector<Record> kept_;
-  Record floor_{};        // of the records kept, once `most_` are there: a smaller one can't come in
+  Record floor_{};  // of the records kept, once `most_` are there: a smaller one can't come in
   bool is_full_ = false;
 };
 
--- a/src/coordination/pool.h
+++ b/src/coordination/pool.h
@@ -15,11 +15,12 @@
   virtual ~LaneSeeker() = default;
   virtual const Values& wanted_values() const = 0;
   virtual void on_lane(Lane& lane, Moment now) = 0;
-  virtual void on_no_lane(Backend& backend, Verdict why, Moment now) = 0;  // no connection could be had
+  virtual void on_no_lane(Backend& backend, Verdict why,
+                          Moment now) = 0;  // no connection could be had
 };
 
-// Invariant: to one backend there are never more connections than allowed, and a resting one never rests while
-// somebody waits for it.
+// Invariant: to one backend there are never more connections than allowed, and a resting one never
+// rests while somebody waits for it.
 class Pool final : public Lane::Keeper {
  public:
   struct Ground {
@@ -27,9 +28,10 @@
     std::function<void(Backend&, const LogPlace&, Moment)> see_place;
     std::function<void(Backend&, bool)> see_answer;
     std::function<Moment()> clock;
-    std::function<void(std::unique_ptr<Lane>)> bury;       // freed between rounds
+    std::function<void(std::unique_ptr<Lane>)> bury;  // freed between rounds
   };
-  explicit Pool(Ground ground) : ground_(std::move(ground)) {}
+  explicit Pool(Ground ground) : ground_(std::move(ground)) {
+  }
 
   // The seeker is called at once, or later, or never if it stops seeking.
   void seek(LaneSeeker& seeker, const BackendPointer& backend, int most, Moment now);
@@ -44,8 +46,12 @@
 
   void on_lane_ready(Lane& lane) override;
   void on_lane_broken(Lane& lane, Verdict why) override;
-  void on_place(Backend& backend, const LogPlace& place, Moment asked) override { ground_.see_place(backend, place, asked); }
-  void on_answer(Backend& backend, bool is_fine) override { ground_.see_answer(backend, is_fine); }
+  void on_place(Backend& backend, const LogPlace& place, Moment asked) override {
+    ground_.see_place(backend, place, asked);
+  }
+  void on_answer(Backend& backend, bool is_fine) override {
+    ground_.see_answer(backend, is_fine);
+  }
 
  private:
   struct Row {
--- a/src/coordination/registry.h
+++ b/src/coordination/registry.h
@@ -1,6 +1,7 @@
 #pragma once
-// The registry of backends, after Eureka: holds with a sweep, eviction that pauses under the renewal threshold,
-// cancel at once on drain, replication peer to peer, deltas for callers. Pure: observations and a clock in.
+// The registry of backends, after Eureka: holds with a sweep, eviction that pauses under the
+// renewal threshold, cancel at once on drain, replication peer to peer, deltas for callers. Pure:
+// observations and a clock in.
 #include <map>
 #include <set>
 #include <string>
@@ -17,12 +18,16 @@
   Span renewal{2000}, hold{6000}, sweep{1000};
   double renewal_threshold = 0.85;
   bool is_preserving = true;
-  bool is_signing_up = false;  // backends tell of themselves; stamps then follow their own count of calls
+  bool is_signing_up =
+      false;  // backends tell of themselves; stamps then follow their own count of calls
   Span tombstone{60000};
 };
 
-// How long a backend that is gone is remembered: well beyond the wait before its address is used again.
-inline Span registry_tombstone(const Startup& startup) { return std::max(Span(60000), startup.reuse_wait * 10); }
+// How long a backend that is gone is remembered: well beyond the wait before its address is used
+// again.
+inline Span registry_tombstone(const Startup& startup) {
+  return std::max(Span(60000), startup.reuse_wait * 10);
+}
 
 struct ProbeTarget {
   std::string id, address, service;
@@ -35,45 +40,65 @@
   struct Line {
     RosterEntry entry;
     Moment warm_until{}, hold_until{}, gone_at{};
-    Moment beaten{};  // when it last told of itself, to this registry or to another
+    Moment beaten{};         // when it last told of itself, to this registry or to another
     std::uint64_t mark = 0;  // of the book when the line last changed
   };
-  // Merges one entry: phases only rise, the greater stamp decides status and hold. True if something changed.
+  // Merges one entry: phases only rise, the greater stamp decides status and hold. True if
+  // something changed.
   bool merge(const RosterEntry& entry, Moment now);
   void forget_gone(Moment now, Span tombstone);
-  const std::map<std::string, Line>& lines() const { return lines_; }
-  std::uint64_t mark() const { return mark_; }
+  const std::map<std::string, Line>& lines() const {
+    return lines_;
+  }
+  std::uint64_t mark() const {
+    return mark_;
+  }
 
  protected:
   RosterEntry travelling(const Line& line, Moment now) const;
-  void touch(Line& line) { line.mark = ++mark_; }
+  void touch(Line& line) {
+    line.mark = ++mark_;
+  }
   std::map<std::string, Line> lines_;
   std::uint64_t mark_ = 0;
 };
 
 class Registry : public RosterBook {
  public:
-  explicit Registry(RegistryOptions options) : options_(options) {}
+  explicit Registry(RegistryOptions options) : options_(options) {
+  }
 
-  // A complete listing of the platform. What it lacks twice running is gone; an incomplete one never comes here.
+  // A complete listing of the platform. What it lacks twice running is gone; an incomplete one
+  // never comes here.
   void observe(const std::vector<RosterEntry>& listed, Moment now);
   // A probe's reply is a renewal: the first one makes a starting backend UP.
   void renew(const std::string& id, Moment now);
-  // A backend's own call: its register, its renewal, or with `emptying` or `gone` its cancel. Late calls change nothing.
+  // A backend's own call: its register, its renewal, or with `emptying` or `gone` its cancel. Late
+  // calls change nothing.
   void sign(const RosterEntry& entry, Moment now);
   void renew_signed(const RenewedIds::Item& item, Moment now);
   RenewedIds take_renewed(Moment now);  // signed here since the last time
   void sweep(Moment now);
   // Services whose backends are probed.
-  void name_services(std::set<std::string> services) { named_ = std::move(services); }
+  void name_services(std::set<std::string> services) {
+    named_ = std::move(services);
+  }
   std::vector<ProbeTarget> targets() const;
   Roster since(std::uint64_t mark, Moment now) const;
   void take(const Roster& roster, Moment now);
 
-  void set_stamp_base(std::uint64_t base) { stamp_ = std::max(stamp_, base); }
-  bool is_filled() const { return is_filled_; }
-  bool is_evicting() const { return is_evicting_; }
-  std::size_t evicted() const { return evicted_; }
+  void set_stamp_base(std::uint64_t base) {
+    stamp_ = std::max(stamp_, base);
+  }
+  bool is_filled() const {
+    return is_filled_;
+  }
+  bool is_evicting() const {
+    return is_evicting_;
+  }
+  std::size_t evicted() const {
+    return evicted_;
+  }
 
  private:
   void set_status(Line& line, Status status) {
--- a/src/coordination/ring_moves.h
+++ b/src/coordination/ring_moves.h
@@ -1,9 +1,10 @@
 #pragma once
-// Moves of virtual nodes and of single accounts between nodes, decided by the leader of the core. Pure: progress and a
-// clock in; orders to nodes and proposals out. Every step can be done again: what is agreed is in the ring's sheet, the
-// rest is asked from the nodes.
+// Moves of virtual nodes and of single accounts between nodes, decided by the leader of the core.
+// Pure: progress and a clock in; orders to nodes and proposals out. Every step can be done again:
+// what is agreed is in the ring's sheet, the rest is asked from the nodes.
 //
-//   planned -> copying -> closing -> switched -> opened -> settled;   undone from any step before switched
+//   planned -> copying -> closing -> switched -> opened -> settled;   undone from any step before
+//   switched
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -16,22 +17,37 @@
 
 namespace saddlewing {
 
-inline constexpr int node_interface = 2;  // of the calls that nodes of the ring are asked, see docs/design/ring.md
+inline constexpr int node_interface =
+    2;  // of the calls that nodes of the ring are asked, see docs/design/ring.md
 
 struct RingMove {
   // The numbers travel and lie on disk: new ones come last.
-  enum class Step : std::uint64_t { planned, copying, closing, switched, settled, undone, opened };
+  enum class Step : std::uint64_t {
+    planned,
+    copying,
+    closing,
+    switched,
+    settled,
+    undone,
+    opened
+  };
   std::uint64_t id = 0;
   RingUnit unit;
   std::string from, to;
   Step step = Step::planned;
   std::uint64_t mark = 0;  // of the sheet that brought the step
   double benefit = 0;      // of those planned the greatest goes first
-  bool is_open() const { return step != Step::settled && step != Step::undone; }
+  bool is_open() const {
+    return step != Step::settled && step != Step::undone;
+  }
   // Both ends are at work on it, so neither takes part in another.
-  bool is_busy() const { return step == Step::copying || step == Step::closing || step == Step::switched; }
+  bool is_busy() const {
+    return step == Step::copying || step == Step::closing || step == Step::switched;
+  }
   // Writes of the unit wait.
-  bool is_closed() const { return step == Step::closing || step == Step::switched; }
+  bool is_closed() const {
+    return step == Step::closing || step == Step::switched;
+  }
 };
 const char* name_of(RingMove::Step step);
 std::string encode_moves(const std::vector<RingMove>& moves);
@@ -40,16 +56,21 @@
 struct MoveOptions {
   Span lease{3000}, settle{4000};
   Span ask_again{400};
-  Span most_closing{3000};       // longer, and the move goes back to copying: nobody waits without end
-  Span longest_read{10000};      // no read of the ring's route that began earlier is still on its way
-  Span longest_gather{0};        // nor a gather over its nodes; 0: there is none
-  double pace_share = 0.5;       // of the slower end's disk and link
+  Span most_closing{3000};   // longer, and the move goes back to copying: nobody waits without end
+  Span longest_read{10000};  // no read of the ring's route that began earlier is still on its way
+  Span longest_gather{0};    // nor a gather over its nodes; 0: there is none
+  double pace_share = 0.5;   // of the slower end's disk and link
   WatchOptions watch;
 };
 
 // What a node said to an order.
 struct NodeAnswer {
-  enum class Kind { silent, garbled, refused, told };
+  enum class Kind {
+    silent,
+    garbled,
+    refused,
+    told
+  };
   Kind kind = Kind::silent;
   bool is_done = false;
   double share = 0;
@@ -61,22 +82,24 @@
  public:
   // What a node is asked. Each may come again and must be harmless then.
   //   describe  nothing; the answer tells which version of the interface the node speaks
-  //   copy      the receiver fetches the unit from the giver, at most so fast (0: pauses), and follows; nobody sees it there
-  //   close     the giver takes no more writes for it; done once those under way have ended, with its last position
-  //   finish    the receiver fetches what came since; done when it has the position named
-  //   open      the node shows the unit, takes writes for it, and serves it from now on
-  //   retire    the giver shows it no more to gathers that do not ask for it, and takes no writes
-  //   drop      the giver forgets it, and turns away what comes for it under an earlier mark
-  //   clear     the receiver forgets it, as if it had never been copied
+  //   copy      the receiver fetches the unit from the giver, at most so fast (0: pauses), and
+  //   follows; nobody sees it there close     the giver takes no more writes for it; done once
+  //   those under way have ended, with its last position finish    the receiver fetches what came
+  //   since; done when it has the position named open      the node shows the unit, takes writes
+  //   for it, and serves it from now on retire    the giver shows it no more to gathers that do not
+  //   ask for it, and takes no writes drop      the giver forgets it, and turns away what comes for
+  //   it under an earlier mark clear     the receiver forgets it, as if it had never been copied
   struct Order {
     std::uint64_t token, move;
     std::string node, what;
     RingUnit unit;
     std::string other;  // the other end
-    std::uint64_t mark = 0;  // of the sheet that the order follows from; a node passes over what is older
+    std::uint64_t mark =
+        0;  // of the sheet that the order follows from; a node passes over what is older
     std::uint64_t position = 0;
     double mb_s = 0;
-    bool is_placed = false;  // of an account: the ring has it elsewhere than at this node, so it is no part of a virtual node there
+    bool is_placed = false;  // of an account: the ring has it elsewhere than at this node, so it is
+                             // no part of a virtual node there
   };
   struct Output {
     std::vector<Order> orders;
@@ -84,23 +107,38 @@
     std::vector<std::string> news;
   };
 
-  explicit RingMoves(MoveOptions options) : options_(options), holders_(options.lease, options.settle) {}
-  // The reason if it is refused; empty: it is planned with the next tick. `serving`: nodes with a backend that is UP.
-  // `may_wait`: behind other moves of its nodes.
-  std::string request(RingUnit unit, const std::string& to, const RingMap& ring, const std::set<std::string>& serving, bool may_wait = false, double benefit = 0);
+  explicit RingMoves(MoveOptions options)
+      : options_(options), holders_(options.lease, options.settle) {
+  }
+  // The reason if it is refused; empty: it is planned with the next tick. `serving`: nodes with a
+  // backend that is UP. `may_wait`: behind other moves of its nodes.
+  std::string request(RingUnit unit, const std::string& to, const RingMap& ring,
+                      const std::set<std::string>& serving, bool may_wait = false,
+                      double benefit = 0);
   std::string undo(std::uint64_t id);
   // `are_lookups_well`: short lookups meet their aims.
-  void tick(bool is_leading, const RingSheet& sheet, const RingMap& ring, bool are_lookups_well, Moment now);
+  void tick(bool is_leading, const RingSheet& sheet, const RingMap& ring, bool are_lookups_well,
+            Moment now);
   void finish_order(std::uint64_t token, const NodeAnswer& answer);
-  void finish_proposal() { is_proposing_ = false; }
+  void finish_proposal() {
+    is_proposing_ = false;
+  }
   Output take();
-  Holders& holders() { return holders_; }
-  const std::vector<RingMove>& moves() const { return moves_; }
+  Holders& holders() {
+    return holders_;
+  }
+  const std::vector<RingMove>& moves() const {
+    return moves_;
+  }
   double progress(std::uint64_t id) const;
   // Why it stands where it stands; empty: it goes on.
   std::string why(std::uint64_t id) const;
-  bool is_paused() const { return is_paused_; }
-  void set_longest(Span read, Span gather) { options_.longest_read = read, options_.longest_gather = gather; }
+  bool is_paused() const {
+    return is_paused_;
+  }
+  void set_longest(Span read, Span gather) {
+    options_.longest_read = read, options_.longest_gather = gather;
+  }
 
  private:
   struct Work {  // of one move; asked anew by whoever leads next
@@ -110,7 +148,9 @@
     double share = 0;
     std::optional<std::uint64_t> position;  // the giver's last one
     std::string why;
-    bool is_fresh = true, is_outdated = false, is_ended = false;  // is_ended: the reason is why  // is_outdated: a node speaks an older version of the interface
+    bool is_fresh = true, is_outdated = false,
+         is_ended = false;  // is_ended: the reason is why  // is_outdated: a node speaks an older
+                            // version of the interface
   };
   struct Pending {
     std::uint64_t move, mark;  // an answer to an earlier step's order is no answer
@@ -118,10 +158,12 @@
   };
   void advance(RingMove& move, const RingMap& ring, Moment now);
   void advance_planned(RingMove& move, const RingMap& ring, Moment now);
-  bool order(const RingMove& move, const std::string& node, const std::string& what, double mb_s, Moment now);
+  bool order(const RingMove& move, const std::string& node, const std::string& what, double mb_s,
+             Moment now);
   bool is_awaited(const RingMove& move, Moment now);
   void set_step(RingMove& move, RingMove::Step step, const std::string& reason = {});
-  std::string find_room(const RingUnit& unit, std::size_t taker, const RingMap& ring, std::uint64_t but) const;
+  std::string find_room(const RingUnit& unit, std::size_t taker, const RingMap& ring,
+                        std::uint64_t but) const;
 
   MoveOptions options_;
   const RingMap* ring_ = nullptr;  // of the tick under way
--- a/src/coordination/ring_watch.cpp
+++ b/src/coordination/ring_watch.cpp
@@ -22,14 +22,20 @@
 
 Fault check_ring_file(const std::string& file, const Configuration& configuration, RingMap& ring) {
   RingMap read;
-  if (Fault found = read_ring(file, read)) return found;
-  const auto rule = std::find_if(configuration.rules.begin(), configuration.rules.end(), [&](const Rule& one) { return one.name == read.rule; });
-  if (rule == configuration.rules.end() || rule->shares.empty()) return fault(Kind::invalid, "rule " + read.rule + " is no rule with a service or shares");
+  if (Fault found = read_ring(file, read))
+    return found;
+  const auto rule = std::find_if(configuration.rules.begin(), configuration.rules.end(),
+                                 [&](const Rule& one) { return one.name == read.rule; });
+  if (rule == configuration.rules.end() || rule->shares.empty())
+    return fault(Kind::invalid, "rule " + read.rule + " is no rule with a service or shares");
   for (const RingNode& node : read.nodes) {
-    const bool is_allowed = std::any_of(rule->shares.begin(), rule->shares.end(), [&](const Share& share) {
-      return share.weight > 0 && configuration.services[share.service.value].name == node.name;
-    });
-    if (!is_allowed) return fault(Kind::invalid, "nodes " + node.name + ": rule " + read.rule + " does not allow it");
+    const bool is_allowed =
+        std::any_of(rule->shares.begin(), rule->shares.end(), [&](const Share& share) {
+          return share.weight > 0 && configuration.services[share.service.value].name == node.name;
+        });
+    if (!is_allowed)
+      return fault(Kind::invalid,
+                   "nodes " + node.name + ": rule " + read.rule + " does not allow it");
   }
   ring = std::move(read);
   return {};
@@ -41,8 +47,10 @@
 }
 
 void RingLoads::add(VirtualNode virtual_node, const RingLoad& load, Moment now) {
-  if (virtual_node >= 65536) return;
-  if (rows_.size() <= virtual_node) rows_.resize(virtual_node + 1);
+  if (virtual_node >= 65536)
+    return;
+  if (rows_.size() <= virtual_node)
+    rows_.resize(virtual_node + 1);
   auto& [sum, when] = rows_[virtual_node];
   const double kept = when == Moment{} ? 0 : fading(when, now);
   sum = {sum.askings * kept, sum.busy_ms * kept, sum.bytes * kept};
@@ -64,8 +72,11 @@
   Writer writer;
   std::size_t left = most_told;
   for (const auto& [virtual_node, load] : loads) {
-    if (left-- == 0) break;
-    writer.number(virtual_node).number(static_cast<std::uint64_t>(load.askings)).number(static_cast<std::uint64_t>(load.busy_ms * 1000));
+    if (left-- == 0)
+      break;
+    writer.number(virtual_node)
+        .number(static_cast<std::uint64_t>(load.askings))
+        .number(static_cast<std::uint64_t>(load.busy_ms * 1000));
     writer.number(static_cast<std::uint64_t>(load.bytes));
   }
   return writer.take();
@@ -79,13 +90,15 @@
     load.askings = static_cast<double>(reader.number());
     load.busy_ms = static_cast<double>(reader.number()) / 1000;
     load.bytes = static_cast<double>(reader.number());
-    if (reader.is_good()) loads.push_back({virtual_node, load});
+    if (reader.is_good())
+      loads.push_back({virtual_node, load});
   }
   return reader.is_good();
 }
 
 double AccountLoads::fading(Moment since, Moment now) const {
-  return std::exp2(-std::chrono::duration<double, std::milli>(now - since).count() / static_cast<double>(half_life_.count()));
+  return std::exp2(-std::chrono::duration<double, std::milli>(now - since).count() /
+                   static_cast<double>(half_life_.count()));
 }
 
 void AccountLoads::add(const std::string& account, const RingLoad& load, Moment now) {
@@ -94,19 +107,23 @@
   sum = {sum.askings * kept, sum.busy_ms * kept, sum.bytes * kept};
   sum += load;
   when = now;
-  if (rows_.size() <= most_ * 2) return;
+  if (rows_.size() <= most_ * 2)
+    return;
   const auto busiest = sums(now);
-  for (std::size_t place = most_; place < busiest.size(); ++place) rows_.erase(busiest[place].first);
+  for (std::size_t place = most_; place < busiest.size(); ++place)
+    rows_.erase(busiest[place].first);
 }
 
 std::vector<std::pair<std::string, RingLoad>> AccountLoads::sums(Moment now) const {
   std::vector<std::pair<std::string, RingLoad>> sums;
   for (const auto& [account, row] : rows_) {
     const double kept = fading(row.second, now);
-    sums.push_back({account, {row.first.askings * kept, row.first.busy_ms * kept, row.first.bytes * kept}});
+    sums.push_back(
+        {account, {row.first.askings * kept, row.first.busy_ms * kept, row.first.bytes * kept}});
   }
   std::sort(sums.begin(), sums.end(), [](const auto& left, const auto& right) {
-    return std::pair(-left.second.busy_ms, left.first) < std::pair(-right.second.busy_ms, right.first);
+    return std::pair(-left.second.busy_ms, left.first) <
+           std::pair(-right.second.busy_ms, right.first);
   });
   return sums;
 }
@@ -115,14 +132,18 @@
   Writer writer;
   std::size_t left = most_accounts_told;
   for (const auto& [account, load] : loads) {
-    if (left-- == 0) break;
-    writer.text(account).number(static_cast<std::uint64_t>(load.askings)).number(static_cast<std::uint64_t>(load.busy_ms * 1000));
+    if (left-- == 0)
+      break;
+    writer.text(account)
+        .number(static_cast<std::uint64_t>(load.askings))
+        .number(static_cast<std::uint64_t>(load.busy_ms * 1000));
     writer.number(static_cast<std::uint64_t>(load.bytes));
   }
   return writer.take();
 }
 
-bool decode_account_loads(const std::string& bytes, std::vector<std::pair<std::string, RingLoad>>& loads) {
+bool decode_account_loads(const std::string& bytes,
+                          std::vector<std::pair<std::string, RingLoad>>& loads) {
   ByteReader reader(bytes);
   while (reader.is_good() && !reader.is_whole()) {
     std::string account = reader.text();
@@ -130,24 +151,31 @@
     load.askings = static_cast<double>(reader.number());
     load.busy_ms = static_cast<double>(reader.number()) / 1000;
     load.bytes = static_cast<double>(reader.number());
-    if (reader.is_good() && is_account_form(account)) loads.push_back({std::move(account), load});
+    if (reader.is_good() && is_account_form(account))
+      loads.push_back({std::move(account), load});
   }
   return reader.is_good();
 }
 
 bool RingReport::is_balanced() const {
-  return std::none_of(nodes.begin(), nodes.end(), [](const NodeReport& node) { return node.is_over; });
+  return std::none_of(nodes.begin(), nodes.end(),
+                      [](const NodeReport& node) { return node.is_over; });
 }
 
-double move_cost(const RingMap& ring, const RingUnit& unit, std::size_t from, std::size_t to, const WatchOptions& options) {
+double move_cost(const RingMap& ring, const RingUnit& unit, std::size_t from, std::size_t to,
+                 const WatchOptions& options) {
   const RingNode &giver = ring.nodes[from], &taker = ring.nodes[to];
   const bool is_same_region = !giver.region.empty() && giver.region == taker.region;
-  const double distance = giver.zone == taker.zone ? 1 : is_same_region ? options.distance_zone : options.distance_region;
-  const double pace = std::min({giver.disk_mb_s, taker.disk_mb_s, giver.link_mb_s, taker.link_mb_s});
+  const double distance = giver.zone == taker.zone ? 1
+                          : is_same_region         ? options.distance_zone
+                                                   : options.distance_region;
+  const double pace =
+      std::min({giver.disk_mb_s, taker.disk_mb_s, giver.link_mb_s, taker.link_mb_s});
   return ring.size_of(unit).second * distance / pace;
 }
 
-RingReport RingWatch::report(const RingMap& ring, const std::vector<RingLoad>& loads, const std::vector<std::pair<std::string, RingLoad>>& accounts) {
+RingReport RingWatch::report(const RingMap& ring, const std::vector<RingLoad>& loads,
+                             const std::vector<std::pair<std::string, RingLoad>>& accounts) {
   RingReport report;
   report.virtual_nodes = loads;
   report.accounts = accounts;
@@ -173,8 +201,8 @@
     report.nodes[owner].memory_mb += memory;
     report.nodes[owner].disk_mb += disk;
   }
-  // Who could move, with its load. An account that the ring places is part of its virtual node's load, one placed by
-  // the table is not.
+  // Who could move, with its load. An account that the ring places is part of its virtual node's
+  // load, one placed by the table is not.
   struct Candidate {
     RingUnit unit;
     std::uint32_t owner;
@@ -183,18 +211,23 @@
   };
   std::vector<Candidate> candidates;
   for (VirtualNode virtual_node = 0; virtual_node < ring.owners.size(); ++virtual_node)
-    candidates.push_back({RingUnit{virtual_node, {}}, ring.owners[virtual_node], loads[virtual_node]});
+    candidates.push_back(
+        {RingUnit{virtual_node, {}}, ring.owners[virtual_node], loads[virtual_node]});
   for (const auto& [account, load] : accounts) {
     const std::uint32_t owner = ring.owner_of(account);
     candidates.push_back({RingUnit{ring.find(account), account}, owner, load});
-    if (!ring.placed.contains(account)) continue;
+    if (!ring.placed.contains(account))
+      continue;
     report.nodes[owner].load += load;
     busy[owner] += load.busy_ms;
     sum += load.busy_ms;
     askings += load.askings;
   }
-  const auto share_of = [&](std::size_t index) { return sum > 0 ? busy[index] / (sum * ring.nodes[index].weight / weights) : 0; };
-  for (std::size_t index = 0; index < count; ++index) report.nodes[index].share = share_of(index);
+  const auto share_of = [&](std::size_t index) {
+    return sum > 0 ? busy[index] / (sum * ring.nodes[index].weight / weights) : 0;
+  };
+  for (std::size_t index = 0; index < count; ++index)
+    report.nodes[index].share = share_of(index);
   report.is_enough = askings >= options_.least_askings;
   if (!report.is_enough) {
     report.remarks.push_back("too few askings to judge by");
@@ -207,44 +240,63 @@
     const double chance = 3 / std::sqrt(std::max(1.0, node.load.askings));
     const bool was_over = std::find(over_.begin(), over_.end(), node.name) != over_.end();
     node.is_over = node.share > (was_over ? options_.settled : options_.over + chance);
-    if (node.is_over) over.push_back(node.name);
+    if (node.is_over)
+      over.push_back(node.name);
   }
   over_ = over;
 
   std::vector<double> memory(count), disk(count);
-  for (std::size_t index = 0; index < count; ++index) memory[index] = report.nodes[index].memory_mb, disk[index] = report.nodes[index].disk_mb;
+  for (std::size_t index = 0; index < count; ++index)
+    memory[index] = report.nodes[index].memory_mb, disk[index] = report.nodes[index].disk_mb;
   for (;;) {
     std::size_t from = count;
     for (std::size_t index = 0; index < count; ++index)
-      if (report.nodes[index].is_over && share_of(index) > options_.settled && (from == count || share_of(index) > share_of(from))) from = index;
-    if (from == count) break;
+      if (report.nodes[index].is_over && share_of(index) > options_.settled &&
+          (from == count || share_of(index) > share_of(from)))
+        from = index;
+    if (from == count)
+      break;
     if (report.proposals.size() >= options_.most_proposals) {
-      report.remarks.push_back(ring.nodes[from].name + " stays at " + percent(share_of(from)) + ": as many moves as are proposed at once");
+      report.remarks.push_back(ring.nodes[from].name + " stays at " + percent(share_of(from)) +
+                               ": as many moves as are proposed at once");
       break;
     }
-    // The move that takes most off for what it costs; never so that the receiver would carry too much in turn.
+    // The move that takes most off for what it costs; never so that the receiver would carry too
+    // much in turn.
     double best_worth = 0;
     Candidate* best = nullptr;
     std::size_t best_to = count;
     bool has_load = false, has_room = false;
     for (Candidate& candidate : candidates) {
-      if (candidate.owner != from || candidate.is_taken || candidate.load.busy_ms <= 0) continue;
+      if (candidate.owner != from || candidate.is_taken || candidate.load.busy_ms <= 0)
+        continue;
       has_load = true;
       const auto [needs_memory, needs_disk] = ring.size_of(candidate.unit);
       for (std::size_t to = 0; to < count; ++to) {
-        if (to == from || memory[to] + needs_memory > ring.nodes[to].memory_mb || disk[to] + needs_disk > ring.nodes[to].disk_mb) continue;
+        if (to == from || memory[to] + needs_memory > ring.nodes[to].memory_mb ||
+            disk[to] + needs_disk > ring.nodes[to].disk_mb)
+          continue;
         has_room = true;
         const double unit = sum / weights;
-        const double after_to = (busy[to] + candidate.load.busy_ms) / (unit * ring.nodes[to].weight);
-        const double after_from = (busy[from] - candidate.load.busy_ms) / (unit * ring.nodes[from].weight);
-        if (after_to > options_.settled || after_from < 2 - options_.over) continue;
-        const double worth = candidate.load.busy_ms / unit / (0.2 + move_cost(ring, candidate.unit, from, to, options_)) * (2 - after_to);
-        if (worth > best_worth) best_worth = worth, best = &candidate, best_to = to;
+        const double after_to =
+            (busy[to] + candidate.load.busy_ms) / (unit * ring.nodes[to].weight);
+        const double after_from =
+            (busy[from] - candidate.load.busy_ms) / (unit * ring.nodes[from].weight);
+        if (after_to > options_.settled || after_from < 2 - options_.over)
+          continue;
+        const double worth = candidate.load.busy_ms / unit /
+                             (0.2 + move_cost(ring, candidate.unit, from, to, options_)) *
+                             (2 - after_to);
+        if (worth > best_worth)
+          best_worth = worth, best = &candidate, best_to = to;
       }
     }
     if (best_to == count) {
-      report.remarks.push_back(ring.nodes[from].name + " stays at " + percent(share_of(from)) + ": " +
-                               (!has_load ? "nothing of it can be taken away" : !has_room ? "no node has memory and disk for it" : "every move would make another node carry too much"));
+      report.remarks.push_back(ring.nodes[from].name + " stays at " + percent(share_of(from)) +
+                               ": " +
+                               (!has_load   ? "nothing of it can be taken away"
+                                : !has_room ? "no node has memory and disk for it"
+                                            : "every move would make another node carry too much"));
       break;
     }
     MoveProposal proposal;
@@ -261,13 +313,15 @@
     best->is_taken = true;
     // One and the same load moves once: not an account and its virtual node both.
     for (Candidate& other : candidates)
-      if (other.unit.virtual_node == best->unit.virtual_node && other.owner == from && !ring.placed.contains(other.unit.account) && !ring.placed.contains(best->unit.account))
+      if (other.unit.virtual_node == best->unit.virtual_node && other.owner == from &&
+          !ring.placed.contains(other.unit.account) && !ring.placed.contains(best->unit.account))
         other.is_taken = true;
     proposal.share_from = share_of(from);
     proposal.share_to = share_of(best_to);
     report.proposals.push_back(std::move(proposal));
   }
-  if (report.proposals.empty() && report.is_balanced()) report.remarks.push_back("no node carries too much");
+  if (report.proposals.empty() && report.is_balanced())
+    report.remarks.push_back("no node carries too much");
   return report;
 }
 
--- a/src/coordination/ring_watch.h
+++ b/src/coordination/ring_watch.h
@@ -1,5 +1,6 @@
 #pragma once
-// How the ring spreads load over its nodes: who carries too much, and which virtual nodes could move. Pure.
+// How the ring spreads load over its nodes: who carries too much, and which virtual nodes could
+// move. Pure.
 #include <map>
 #include <optional>
 #include <string>
@@ -21,7 +22,8 @@
 // Sums that fade: what came one half-life ago counts half.
 class RingLoads {
  public:
-  explicit RingLoads(Span half_life) : half_life_(half_life) {}
+  explicit RingLoads(Span half_life) : half_life_(half_life) {
+  }
   void add(VirtualNode virtual_node, const RingLoad& load, Moment now);
   std::vector<RingLoad> sums(std::size_t count, Moment now) const;
 
@@ -34,7 +36,8 @@
 // The same for accounts, of which only the busiest are kept.
 class AccountLoads {
  public:
-  AccountLoads(Span half_life, std::size_t most) : half_life_(half_life), most_(most) {}
+  AccountLoads(Span half_life, std::size_t most) : half_life_(half_life), most_(most) {
+  }
   void add(const std::string& account, const RingLoad& load, Moment now);
   // The busiest first.
   std::vector<std::pair<std::string, RingLoad>> sums(Moment now) const;
@@ -51,19 +54,23 @@
 bool decode_loads(const std::string& bytes, std::vector<std::pair<VirtualNode, RingLoad>>& loads);
 
 std::string encode_account_loads(const std::vector<std::pair<std::string, RingLoad>>& loads);
-bool decode_account_loads(const std::string& bytes, std::vector<std::pair<std::string, RingLoad>>& loads);
+bool decode_account_loads(const std::string& bytes,
+                          std::vector<std::pair<std::string, RingLoad>>& loads);
 
 struct WatchOptions {
-  double over = 1.25, settled = 1.10;  // of the mean: above `over` a node carries too much, until under `settled`
-  double least_askings = 200;          // fewer tell nothing
+  double over = 1.25,
+         settled =
+             1.10;  // of the mean: above `over` a node carries too much, until under `settled`
+  double least_askings = 200;  // fewer tell nothing
   std::size_t most_proposals = 4;
-  double distance_zone = 2, distance_region = 8;  // cost of a byte over the way, against one within a zone
+  double distance_zone = 2,
+         distance_region = 8;  // cost of a byte over the way, against one within a zone
 };
 
 struct NodeReport {
   std::string name;
   RingLoad load;
-  double share = 0;        // busy time against the mean that its weight entitles it to; 1 is just that
+  double share = 0;  // busy time against the mean that its weight entitles it to; 1 is just that
   double memory_mb = 0, disk_mb = 0;  // in use by its virtual nodes
   bool is_over = false;
 };
@@ -90,19 +97,24 @@
 // Remembers who carried too much, so that noise around the bound proposes nothing.
 class RingWatch {
  public:
-  explicit RingWatch(WatchOptions options) : options_(options) {}
+  explicit RingWatch(WatchOptions options) : options_(options) {
+  }
   // `loads`: of virtual nodes, without accounts that live elsewhere; `accounts`: of the busiest.
-  RingReport report(const RingMap& ring, const std::vector<RingLoad>& loads, const std::vector<std::pair<std::string, RingLoad>>& accounts = {});
+  RingReport report(const RingMap& ring, const std::vector<RingLoad>& loads,
+                    const std::vector<std::pair<std::string, RingLoad>>& accounts = {});
 
  private:
   WatchOptions options_;
   std::vector<std::string> over_;
 };
 
-// Reads an operator's file and checks it against the configuration: the ring never sends where no route allows it.
+// Reads an operator's file and checks it against the configuration: the ring never sends where no
+// route allows it.
 Fault check_ring_file(const std::string& file, const Configuration& configuration, RingMap& ring);
 
-// What a move of this unit costs between these nodes: its megabytes, weighed by distance and by the slower end.
-double move_cost(const RingMap& ring, const RingUnit& unit, std::size_t from, std::size_t to, const WatchOptions& options);
+// What a move of this unit costs between these nodes: its megabytes, weighed by distance and by the
+// slower end.
+double move_cost(const RingMap& ring, const RingUnit& unit, std::size_t from, std::size_t to,
+                 const WatchOptions& options);
 
 }  // namespace saddlewing
--- a/src/coordination/samples.h
+++ b/src/coordination/samples.h
@@ -1,6 +1,7 @@
 #pragma once
-// What is known of each database's log: at some moment its leader's log had reached some place. A read that may be a
-// little old goes to a copy whose log holds a place the leader had reached within that time.
+// What is known of each database's log: at some moment its leader's log had reached some place. A
+// read that may be a little old goes to a copy whose log holds a place the leader had reached
+// within that time.
 #include <deque>
 #include <map>
 #include <string>
@@ -16,29 +17,38 @@
   // `asked`: before the leader answered, so that everything acknowledged by then is in the place.
   void note(const std::string& service, std::uint64_t number, const LogPlace& place, Moment asked) {
     Row& row = rows_[service];
-    if (number < row.number) return;  // of an earlier lead
-    if (number > row.number) row = {number, {}};
+    if (number < row.number)
+      return;  // of an earlier lead
+    if (number > row.number)
+      row = {number, {}};
     if (!row.seen.empty() && asked <= row.seen.back().asked) {
-      if (asked + least_step < row.seen.back().asked) return;
+      if (asked + least_step < row.seen.back().asked)
+        return;
     } else if (!row.seen.empty() && asked - row.seen.back().asked < least_step) {
       return;  // near enough to the last
     }
-    if (row.seen.empty() || asked > row.seen.back().asked) row.seen.push_back({place, asked});
-    while (row.seen.size() > most) row.seen.pop_front();
+    if (row.seen.empty() || asked > row.seen.back().asked)
+      row.seen.push_back({place, asked});
+    while (row.seen.size() > most)
+      row.seen.pop_front();
   }
   // The easiest place that holds everything acknowledged before `since`; unknown if there is none.
   LogPlace find(const std::string& service, std::uint64_t number, Moment since) const {
     const auto found = rows_.find(service);
-    if (found == rows_.end() || found->second.number != number) return {};
+    if (found == rows_.end() || found->second.number != number)
+      return {};
     for (const Sample& sample : found->second.seen)
-      if (sample.asked >= since) return sample.place;
+      if (sample.asked >= since)
+        return sample.place;
     return {};
   }
-  // The newest of each, younger than `oldest`: as a frame carries them, with ages instead of moments.
+  // The newest of each, younger than `oldest`: as a frame carries them, with ages instead of
+  // moments.
   std::string tell(Moment now, Span oldest) const {
     Writer writer;
     for (const auto& [service, row] : rows_) {
-      if (row.seen.empty() || now - row.seen.back().asked > oldest) continue;
+      if (row.seen.empty() || now - row.seen.back().asked > oldest)
+        continue;
       const Sample& last = row.seen.back();
       writer.text(service).number(row.number).number(last.place.term).number(last.place.number);
       writer.number(static_cast<std::uint64_t>(std::chrono::ceil<Span>(now - last.asked).count()));
@@ -55,7 +65,8 @@
       place.term = reader.number();
       place.number = reader.number();
       const std::uint64_t age = reader.number();
-      if (reader.is_good() && age < 60000) note(service, number, place, built - Span(static_cast<std::int64_t>(age) + 1));
+      if (reader.is_good() && age < 60000)
+        note(service, number, place, built - Span(static_cast<std::int64_t>(age) + 1));
     }
     return reader.is_good();
   }
--- a/src/programs/broker_program.cpp
+++ b/src/programs/broker_program.cpp
@@ -19,10 +19,12 @@
   std::random_device device;
   const LifeId life{(static_cast<std::uint64_t>(device()) << 32) | device() | 1u};
   Traffic traffic(startup, life);
-  Follower follower(startup, life, [&traffic](ViewSnapshot view) { traffic.show(std::move(view)); },
-                    [&traffic](AidEvent event) { traffic.tell(std::move(event)); });
+  Follower follower(
+      startup, life, [&traffic](ViewSnapshot view) { traffic.show(std::move(view)); },
+      [&traffic](AidEvent event) { traffic.tell(std::move(event)); });
   follower.set_ring([&traffic](RingNews news) { traffic.turn_ring(std::move(news)); });
-  if (startup.has_edges) follower.set_edges([&traffic](EdgeNews news) { traffic.turn_edges(std::move(news)); });
+  if (startup.has_edges)
+    follower.set_edges([&traffic](EdgeNews news) { traffic.turn_edges(std::move(news)); });
   traffic.set_follower(follower);
   traffic.set_sender([&follower](AidOut out) { return follower.send(std::move(out)); });
   for (const Fault& found : {follower.open(), traffic.open()})
--- a/src/programs/check_program.cpp
+++ b/src/programs/check_program.cpp
@@ -1,4 +1,5 @@
-// saddlewing check FILE: a startup or a configuration, told apart by their fields, or a ring file (.yaml).
+// saddlewing check FILE: a startup or a configuration, told apart by their fields, or a ring file
+// (.yaml).
 #include <json/json.h>
 
 #include <fstream>
--- a/src/programs/core.h
+++ b/src/programs/core.h
@@ -39,12 +39,17 @@
     should_leave_ = true;
     events_.push(Renewed{});
   }
-  bool has_left() const { return has_left_; }
+  bool has_left() const {
+    return has_left_;
+  }
   void join() {
-    if (thread_.joinable()) thread_.join();
+    if (thread_.joinable())
+      thread_.join();
   }
   void set_contacts(const std::vector<Address>& contacts);
-  Ring<CoreEvent>& events() { return events_; }
+  Ring<CoreEvent>& events() {
+    return events_;
+  }
 
  private:
   struct Broker {
@@ -57,13 +62,14 @@
     bool wants_roster = false, is_pooler = false;
     std::uint64_t token = 0, leads_mark = 0;  // of its last follow
     std::uint64_t edges_held = 0;
-    Askings beats;                            // of a pooler: when the last ones left, by serial
+    Askings beats;  // of a pooler: when the last ones left, by serial
     Moment heard;
   };
   struct Peer {
     LifeId life;
-    std::uint64_t sent_mark = 0, taken_mark = 0;  // taken_mark: of its roster, as far as it came here
-    bool is_missing = false;                      // something of its roster did not come
+    std::uint64_t sent_mark = 0,
+                  taken_mark = 0;  // taken_mark: of its roster, as far as it came here
+    bool is_missing = false;       // something of its roster did not come
     std::string locality;
     Moment whole_due{}, observed{}, sent{}, heard{};
   };
@@ -71,13 +77,16 @@
   void run();
   void take_event(CoreEvent& event, Moment now);
   void take_parcel(const Parcel& parcel, Moment now);
-  void take_follow(const std::string& route, const FrameHead& head, const Follow& follow, Moment now);
+  void take_follow(const std::string& route, const FrameHead& head, const Follow& follow,
+                   Moment now);
   void take_roster(const FrameHead& head, const Roster& roster, Moment now);
   void take_trace(const std::string& route, Moment now);
   void tell_status(const std::string& route, Moment now);
   void route_calls(Moment now);
   void finish_call(std::uint64_t token, bool is_done, std::string body);
-  Term led_in() const { return agreement_.leader_address().empty() ? Term{} : agreement_.term(); }  // a term that has a leader
+  Term led_in() const {
+    return agreement_.leader_address().empty() ? Term{} : agreement_.term();
+  }  // a term that has a leader
   void handle_output(Moment now);
   void note_commit(Moment now);
   void tend_registry(Moment now);
@@ -101,10 +110,13 @@
   void take_edge_view(const FrameHead& from, const EdgeViewFrame& frame, Moment now);
   void take_edge_sums(const EdgeSums& sums, Moment now);
   std::string show_edges(Moment now) const;
-  void take_pooler(const FrameHead& from, const Follow& follow, Broker& broker, Beat& beat, Moment now);
+  void take_pooler(const FrameHead& from, const Follow& follow, Broker& broker, Beat& beat,
+                   Moment now);
   void send_to(const std::string& address, const std::string& bytes);
   void reach(const std::string& address);
-  FrameHead head() const { return {FrameKind::raft, life_, address_}; }
+  FrameHead head() const {
+    return {FrameKind::raft, life_, address_};
+  }
 
   const Startup startup_;
   const LifeId life_;
@@ -125,7 +137,7 @@
   LeadTable leads_;         // as committed
   std::string leads_text_;  // the same, as it travels
   EntrySnapshot leads_seen_;
-  RingSheet ring_sheet_;    // as committed; mark 0: none
+  RingSheet ring_sheet_;  // as committed; mark 0: none
   std::string ring_text_;
   RingMap ring_;
   RingMoves ring_moves_;
@@ -137,7 +149,8 @@
   Moment ring_due_{}, ring_watched_{};
   bool is_ring_over_ = false;
   EntrySnapshot ring_seen_;
-  // Ready brokers by region, each list ordered by the hash of its address; made anew when one came, went or changed.
+  // Ready brokers by region, each list ordered by the hash of its address; made anew when one came,
+  // went or changed.
   using SeatRing = std::vector<std::pair<std::size_t, std::string>>;
   std::map<std::string, SeatRing> seats_;
   bool are_seats_old_ = true;
@@ -155,15 +168,15 @@
   Rollout edge_rollout_;
   std::string edges_text_;
   Moment edges_due_{}, edges_told_{};
-  Samples samples_;         // of the poolers fed here
-  Term led_term_;           // the last term the failover knew of
+  Samples samples_;  // of the poolers fed here
+  Term led_term_;    // the last term the failover knew of
   Moment renewed_due_{};
 
   std::map<std::string, Broker> brokers_;  // by inner address
   std::map<std::string, Peer> peers_;      // by inner address
-  EntrySnapshot noted_;                     // the committed entry that was made known
+  EntrySnapshot noted_;                    // the committed entry that was made known
   ConfigurationSnapshot configuration_;
-  std::string packed_;                     // its body, as brokers get it
+  std::string packed_;  // its body, as brokers get it
   Rollout rollout_;
   Grants grants_;
   CallTable calls_;
--- a/src/programs/core_edges.cpp
+++ b/src/programs/core_edges.cpp
@@ -1,4 +1,5 @@
-// The agree thread's care for the shared view of edges: sums to the leader, its judgement, and the turn of all brokers.
+// The agree thread's care for the shared view of edges: sums to the leader, its judgement, and the
+// turn of all brokers.
 #include <glog/logging.h>
 #include <json/json.h>
 
@@ -18,63 +19,83 @@
 
 void Core::take_edge_follow(const Follow& follow, Broker& broker) {
   broker.edges_held = follow.edges_held;
-  if (follow.edge_counts.empty()) return;
+  if (follow.edge_counts.empty())
+    return;
   const auto [place, is_new] = edge_counts_.try_emplace(follow.region, most_cells_here);
-  if (!place->second.merge(follow.edge_counts)) metrics().add(Metric::edge_frames_dropped);
+  if (!place->second.merge(follow.edge_counts))
+    metrics().add(Metric::edge_frames_dropped);
 }
 
 // A peer's, kept for the case that this one leads next.
 void Core::take_edge_view(const FrameHead& from, const EdgeViewFrame& frame, Moment now) {
   fence_.admits(led_in(), false);
-  if (!fence_.admits(frame.term, from.from == agreement_.leader_address()) || agreement_.is_leader()) return metrics().add(Metric::edge_frames_dropped);
+  if (!fence_.admits(frame.term, from.from == agreement_.leader_address()) ||
+      agreement_.is_leader())
+    return metrics().add(Metric::edge_frames_dropped);
   edge_judge_.take_ways(frame.ways);
-  if (frame.view.empty()) return;
+  if (frame.view.empty())
+    return;
   auto view = std::make_shared<EdgeView>();
-  if (!decode_view(frame.view, *view) || view->mark < edge_judge_.view()->mark) return metrics().add(Metric::edge_frames_dropped);
-  if (!edge_judge_.take(std::move(view), now)) return;
+  if (!decode_view(frame.view, *view) || view->mark < edge_judge_.view()->mark)
+    return metrics().add(Metric::edge_frames_dropped);
+  if (!edge_judge_.take(std::move(view), now))
+    return;
   edges_text_ = frame.view;
   edge_rollout_.commit(Version{static_cast<std::int64_t>(edge_judge_.view()->mark)}, now);
 }
 
 // Counts told to a leader of another term are not counted in this one.
 void Core::take_edge_sums(const EdgeSums& sums, Moment now) {
-  if (!agreement_.is_leader() || sums.term != agreement_.term()) return metrics().add(Metric::edge_frames_dropped);
+  if (!agreement_.is_leader() || sums.term != agreement_.term())
+    return metrics().add(Metric::edge_frames_dropped);
   for (const auto& [region, counts] : sums.regions)
-    if (!edge_judge_.add(region, counts, now)) metrics().add(Metric::edge_frames_dropped);
+    if (!edge_judge_.add(region, counts, now))
+      metrics().add(Metric::edge_frames_dropped);
 }
 
 void Core::tend_edges(Moment now) {
-  if (!startup_.has_edges) return;
+  if (!startup_.has_edges)
+    return;
   const bool is_leading = agreement_.is_leased(now);
   if (is_leading) {
     std::vector<Version> held;
     for (const auto& [from, broker] : brokers_)
-      if (!broker.is_pooler) held.push_back(Version{static_cast<std::int64_t>(broker.edges_held)});
+      if (!broker.is_pooler)
+        held.push_back(Version{static_cast<std::int64_t>(broker.edges_held)});
     const Rollout::Turn turn = edge_rollout_.advance(held, now);
     if (turn != Rollout::Turn::none) {
-      LOG(INFO) << "edges: view " << (edge_judge_.view()->mark & 0xffffffff) << " in force, " << (turn == Rollout::Turn::held_by_all ? "held by all" : "waited enough");
-      metrics().set(Metric::edges_mark, static_cast<std::int64_t>(edge_judge_.view()->mark & 0xffffffff));
-      for (auto& [from, broker] : brokers_) send_beat(broker, false, now);
+      LOG(INFO) << "edges: view " << (edge_judge_.view()->mark & 0xffffffff) << " in force, "
+                << (turn == Rollout::Turn::held_by_all ? "held by all" : "waited enough");
+      metrics().set(Metric::edges_mark,
+                    static_cast<std::int64_t>(edge_judge_.view()->mark & 0xffffffff));
+      for (auto& [from, broker] : brokers_)
+        send_beat(broker, false, now);
     }
   }
-  if (now < edges_due_) return;
+  if (now < edges_due_)
+    return;
   edges_due_ = now + edges_every;
   EdgeSums sums{agreement_.term(), {}};
   for (auto& [region, counts] : edge_counts_)
-    if (!counts.is_empty()) sums.regions.push_back({region, counts.take()});
+    if (!counts.is_empty())
+      sums.regions.push_back({region, counts.take()});
   if (!is_leading) {
-    if (!sums.regions.empty() && !agreement_.leader_address().empty()) send_to(agreement_.leader_address(), encode(head(), sums));
+    if (!sums.regions.empty() && !agreement_.leader_address().empty())
+      send_to(agreement_.leader_address(), encode(head(), sums));
     return;
   }
-  for (const auto& [region, counts] : sums.regions) edge_judge_.add(region, counts, now);
+  for (const auto& [region, counts] : sums.regions)
+    edge_judge_.add(region, counts, now);
   std::map<EdgeJudge::Edge, double> capacity;
   std::map<std::string, double> helpers;
   for (const auto& [id, line] : registry_.lines())
     if (line.entry.phase == Phase::ready && line.entry.status == Status::up)
-      capacity[{line.entry.service, line.entry.locality}] += static_cast<double>(std::max<std::uint64_t>(1, line.entry.capacity));
+      capacity[{line.entry.service, line.entry.locality}] +=
+          static_cast<double>(std::max<std::uint64_t>(1, line.entry.capacity));
   constexpr double helps_at_once = 8;
   for (const auto& [from, broker] : brokers_)
-    if (broker.is_ready) capacity[{"", broker.region}] += helps_at_once;
+    if (broker.is_ready)
+      capacity[{"", broker.region}] += helps_at_once;
   const EdgeSnapshot before = edge_judge_.view();
   const EdgeSnapshot view = edge_judge_.judge(agreement_.term().value, capacity, now);
   if (view) {
@@ -85,18 +106,27 @@
       avoided += state.verdict == EdgeState::Verdict::avoided;
       const EdgeState* was = before->find(state.service, state.zone, state.region);
       if (!was || was->verdict != state.verdict || was->percent_kept != state.percent_kept)
-        LOG(WARNING) << "edges: " << state.region << " to " << state.service << " in " << state.zone << ": " << name_of(state.verdict) << ", keeps "
-                     << state.percent_kept << " %, " << state.reason;
+        LOG(WARNING) << "edges: " << state.region << " to " << state.service << " in " << state.zone
+                     << ": " << name_of(state.verdict) << ", keeps " << state.percent_kept << " %, "
+                     << state.reason;
     }
     for (const EdgeState& was : before->states)
-      if (!view->find(was.service, was.zone, was.region)) LOG(WARNING) << "edges: " << was.region << " to " << was.service << " in " << was.zone << ": allowed again";
+      if (!view->find(was.service, was.zone, was.region))
+        LOG(WARNING) << "edges: " << was.region << " to " << was.service << " in " << was.zone
+                     << ": allowed again";
     metrics().set(Metric::edges_avoided, avoided);
-    for (auto& [from, broker] : brokers_) send_beat(broker, false, now);
+    for (auto& [from, broker] : brokers_)
+      send_beat(broker, false, now);
   }
-  if (!view && now - edges_told_ < tell_peers_every) return;
+  if (!view && now - edges_told_ < tell_peers_every)
+    return;
   edges_told_ = now;
-  const std::string frame = encode(head(), EdgeViewFrame{agreement_.term(), static_cast<std::uint64_t>(edge_rollout_.in_force().value), edges_text_, edge_judge_.ways()});
-  for (const std::string& address : agreement_.known_addresses()) send_to(address, frame);
+  const std::string frame =
+      encode(head(), EdgeViewFrame{agreement_.term(),
+                                   static_cast<std::uint64_t>(edge_rollout_.in_force().value),
+                                   edges_text_, edge_judge_.ways()});
+  for (const std::string& address : agreement_.known_addresses())
+    send_to(address, frame);
 }
 
 std::string Core::show_edges(Moment now) const {
@@ -117,7 +147,8 @@
     value["age_ms"] = Json::Int64(row.age.count());
     value["reason"] = row.reason;
     root["cells"].append(value);
-    if (row.verdict == EdgeState::Verdict::avoided) root["avoided"] = root["avoided"].asInt() + 1;
+    if (row.verdict == EdgeState::Verdict::avoided)
+      root["avoided"] = root["avoided"].asInt() + 1;
   }
   Json::StreamWriterBuilder builder;
   builder["indentation"] = "";
