--- a/src/programs/core_program.cpp
+++ b/src/programs/core_program.cpp
@@ -14,7 +14,11 @@
 namespace saddlewing {
 namespace {
 
-enum Exit { all_confirmed = 0, silent = 1, no_majority = 3 };
+enum Exit {
+  all_confirmed = 0,
+  silent = 1,
+  no_majority = 3
+};
 constexpr Span ask_again{100};
 
 // Asks all contacts at once, each until it answers or the time is over.
@@ -27,38 +31,55 @@
   std::map<std::string, CoreStatus> found;
   for (const std::string& contact : contacts) {
     Address address;
-    if (parse_address(contact, address)) spokes.try_emplace(contact, std::make_unique<Spoke>(context, address));
+    if (parse_address(contact, address))
+      spokes.try_emplace(contact, std::make_unique<Spoke>(context, address));
   }
   while (Clock::now() < until && found.size() < spokes.size()) {
     const Moment now = Clock::now();
     std::vector<void*> handles;
     bool is_connecting = false;
     for (const auto& [contact, spoke] : spokes) {
-      if (found.contains(contact)) continue;
+      if (found.contains(contact))
+        continue;
       handles.push_back(spoke->handle());
-      if (now - asked[contact] < ask_again * 3) continue;
-      if (spoke->send(encode_core_status_request({FrameKind::core_status_request, {}, {}}))) asked[contact] = now;
-      else is_connecting = true;
+      if (now - asked[contact] < ask_again * 3)
+        continue;
+      if (spoke->send(encode_core_status_request({FrameKind::core_status_request, {}, {}})))
+        asked[contact] = now;
+      else
+        is_connecting = true;
     }
-    wait_links(handles, waker, std::min(is_connecting ? ask_again / 5 : ask_again, std::chrono::ceil<Span>(until - now)));
+    wait_links(
+        handles, waker,
+        std::min(is_connecting ? ask_again / 5 : ask_again, std::chrono::ceil<Span>(until - now)));
     for (const auto& [contact, spoke] : spokes)
       while (const auto parcel = spoke->receive()) {
         ByteReader reader(parcel->bytes);
         FrameHead head;
         CoreStatus status;
-        if (decode_head(reader, head) && head.kind == FrameKind::core_status && decode(reader, status)) found.try_emplace(contact, std::move(status));
+        if (decode_head(reader, head) && head.kind == FrameKind::core_status &&
+            decode(reader, status))
+          found.try_emplace(contact, std::move(status));
       }
   }
   return found;
 }
 
 // Of a voter that knows more of its leader's entries than it holds.
-std::uint64_t behind(const CoreStatus& status) { return status.leader_last.value - std::min(status.leader_last.value, status.last.value); }
+std::uint64_t behind(const CoreStatus& status) {
+  return status.leader_last.value - std::min(status.leader_last.value, status.last.value);
+}
 
-const char* disk_of(const CoreStatus& status) { return status.is_save_failing ? "failing" : status.is_save_stuck ? "stuck" : "fine"; }
-const char* member_of(const CoreStatus& status) { return status.is_removed ? "removed" : status.is_voter ? "voter" : "learner"; }
+const char* disk_of(const CoreStatus& status) {
+  return status.is_save_failing ? "failing" : status.is_save_stuck ? "stuck" : "fine";
+}
+const char* member_of(const CoreStatus& status) {
+  return status.is_removed ? "removed" : status.is_voter ? "voter" : "learner";
+}
 
-Json::Value numbered(std::uint64_t value) { return Json::Value(static_cast<Json::UInt64>(value)); }
+Json::Value numbered(std::uint64_t value) {
+  return Json::Value(static_cast<Json::UInt64>(value));
+}
 
 Json::Value json_of(const std::string& contact, const CoreStatus& status) {
   Json::Value root(Json::objectValue);
@@ -70,7 +91,8 @@
   root["role"] = name_of(status.role);
   root["term"] = numbered(status.term.value);
   root["leader"] = status.leader.empty() ? Json::Value() : Json::Value(status.leader);
-  if (status.role == CoreStatus::Role::follower && !status.leader.empty()) root["leader_heard_ms"] = numbered(status.leader_heard);
+  if (status.role == CoreStatus::Role::follower && !status.leader.empty())
+    root["leader_heard_ms"] = numbered(status.leader_heard);
   root["majority"] = status.is_confirmed;
   root["committed"] = Json::Value();
   if (status.has_committed) {
@@ -102,30 +124,49 @@
 }
 
 void print(const std::string& contact, const CoreStatus& status) {
-  const auto number = [](std::uint64_t value) { return static_cast<unsigned long long>(value); };
-  std::printf("%s at %s: %s, %s, term %llu, id %llu\n", status.node.c_str(), contact.c_str(), member_of(status), name_of(status.role), number(status.term.value),
+  const auto number = [](std::uint64_t value) {
+    return static_cast<unsigned long long>(value);
+  };
+  std::printf("%s at %s: %s, %s, term %llu, id %llu\n", status.node.c_str(), contact.c_str(),
+              member_of(status), name_of(status.role), number(status.term.value),
               number(status.self.value));
-  if (status.is_confirmed) std::printf("  a majority stands behind it\n");
-  else std::printf("  no majority behind it: what follows may be old\n");
-  if (status.leader.empty()) std::printf("  leader: none known\n");
-  else if (status.role == CoreStatus::Role::leader) std::printf("  leader: itself\n");
-  else std::printf("  leader: %s, heard %llu ms ago\n", status.leader.c_str(), number(status.leader_heard));
+  if (status.is_confirmed)
+    std::printf("  a majority stands behind it\n");
+  else
+    std::printf("  no majority behind it: what follows may be old\n");
+  if (status.leader.empty())
+    std::printf("  leader: none known\n");
+  else if (status.role == CoreStatus::Role::leader)
+    std::printf("  leader: itself\n");
+  else
+    std::printf("  leader: %s, heard %llu ms ago\n", status.leader.c_str(),
+                number(status.leader_heard));
   if (status.has_committed)
-    std::printf("  committed: version %lld, index %llu of term %llu\n", static_cast<long long>(status.version.value), number(status.committed.value),
+    std::printf("  committed: version %lld, index %llu of term %llu\n",
+                static_cast<long long>(status.version.value), number(status.committed.value),
                 number(status.committed_term.value));
-  else std::printf("  committed: nothing known since it started\n");
-  if (behind(status)) std::printf("  catches up: %llu entries behind its leader\n", number(behind(status)));
+  else
+    std::printf("  committed: nothing known since it started\n");
+  if (behind(status))
+    std::printf("  catches up: %llu entries behind its leader\n", number(behind(status)));
   std::printf("  disk: %s", disk_of(status));
-  if (status.saving) std::printf(", a save under way for %llu ms", number(status.saving));
-  std::printf("\n  voters wanted: %u\n  %-24s %-8s %-21s %10s  %s\n", status.core_size, "address", "member", "id", "heard ms", "state");
+  if (status.saving)
+    std::printf(", a save under way for %llu ms", number(status.saving));
+  std::printf("\n  voters wanted: %u\n  %-24s %-8s %-21s %10s  %s\n", status.core_size, "address",
+              "member", "id", "heard ms", "state");
   for (const CoreStatus::Peer& peer : status.peers) {
     std::string state = "-", heard = "-";
     if (status.role == CoreStatus::Role::leader && peer.is_known) {
       heard = std::to_string(peer.heard);
-      state = peer.is_matched ? "matched" : peer.behind ? std::to_string(peer.behind) + " behind" : "not matched";
+      state = peer.is_matched ? "matched"
+              : peer.behind   ? std::to_string(peer.behind) + " behind"
+                              : "not matched";
     }
-    if (peer.id == status.self) heard = "itself";
-    std::printf("  %-24s %-8s %-21llu %10s  %s\n", peer.address.c_str(), peer.is_voter ? "voter" : "learner", number(peer.id.value), heard.c_str(), state.c_str());
+    if (peer.id == status.self)
+      heard = "itself";
+    std::printf("  %-24s %-8s %-21llu %10s  %s\n", peer.address.c_str(),
+                peer.is_voter ? "voter" : "learner", number(peer.id.value), heard.c_str(),
+                state.c_str());
   }
 }
 
@@ -146,10 +187,13 @@
       continue;
     }
     is_any_alone = is_any_alone || !place->second.is_confirmed;
-    if (is_json) root["registries"].append(json_of(contact, place->second));
-    else print(contact, place->second);
+    if (is_json)
+      root["registries"].append(json_of(contact, place->second));
+    else
+      print(contact, place->second);
   }
-  if (is_json) std::cout << root.toStyledString();
+  if (is_json)
+    std::cout << root.toStyledString();
   return is_any_alone ? no_majority : is_any_silent ? silent : all_confirmed;
 }
 
--- a/src/programs/desk.h
+++ b/src/programs/desk.h
@@ -16,10 +16,13 @@
   Fault open();
   void start();
   void stop();
-  void tell(OperatorOutcome outcome) { outcomes_.push(std::move(outcome)); }
+  void tell(OperatorOutcome outcome) {
+    outcomes_.push(std::move(outcome));
+  }
 
   void on_request(Visit& visit, Moment now) override;
-  void on_gone(Visit&) override {}
+  void on_gone(Visit&) override {
+  }
 
  private:
   struct Open final : Scheduled {
--- a/src/programs/edges_program.cpp
+++ b/src/programs/edges_program.cpp
@@ -11,15 +11,26 @@
 namespace saddlewing {
 namespace {
 
-enum Exit { all_allowed = 0, failed = 1, some_avoided = 3 };
+enum Exit {
+  all_allowed = 0,
+  failed = 1,
+  some_avoided = 3
+};
 
 void print(const Json::Value& root) {
-  std::printf("view %s, in force %s, %s cells avoided\n\n%-24s %-18s %-18s %-10s %8s %9s %9s %8s  %s\n", root["view"].asString().c_str(), root["in_force"].asString().c_str(),
-              root["avoided"].asString().c_str(), "service", "zone", "for region", "state", "samples", "time ms", "failures", "since s", "why");
+  std::printf(
+      "view %s, in force %s, %s cells avoided\n\n%-24s %-18s %-18s %-10s %8s %9s %9s %8s  %s\n",
+      root["view"].asString().c_str(), root["in_force"].asString().c_str(),
+      root["avoided"].asString().c_str(), "service", "zone", "for region", "state", "samples",
+      "time ms", "failures", "since s", "why");
   for (const Json::Value& cell : root["cells"])
-    std::printf("%-24s %-18s %-18s %-10s %8.0f %9.1f %8.1f%% %8.0f  %s\n", cell["service"].asString().empty() ? "(helpers)" : cell["service"].asString().c_str(),
-                cell["zone"].asString().c_str(), cell["region"].asString().c_str(), cell["state"].asString().c_str(), cell["samples"].asDouble(), cell["time_ms"].asDouble(),
-                cell["failures"].asDouble() * 100, cell["age_ms"].asDouble() / 1000, cell["reason"].asString().c_str());
+    std::printf(
+        "%-24s %-18s %-18s %-10s %8.0f %9.1f %8.1f%% %8.0f  %s\n",
+        cell["service"].asString().empty() ? "(helpers)" : cell["service"].asString().c_str(),
+        cell["zone"].asString().c_str(), cell["region"].asString().c_str(),
+        cell["state"].asString().c_str(), cell["samples"].asDouble(), cell["time_ms"].asDouble(),
+        cell["failures"].asDouble() * 100, cell["age_ms"].asDouble() / 1000,
+        cell["reason"].asString().c_str());
 }
 
 }  // namespace
@@ -40,8 +51,10 @@
     std::cerr << "edges: the answer is not understood\n";
     return failed;
   }
-  if (is_json) std::cout << answer.text << "\n";
-  else print(root);
+  if (is_json)
+    std::cout << answer.text << "\n";
+  else
+    print(root);
   return root["avoided"].asInt() > 0 ? some_avoided : all_allowed;
 }
 
--- a/src/programs/follower.h
+++ b/src/programs/follower.h
@@ -1,5 +1,6 @@
 #pragma once
-// The follow thread of a broker: keeps snapshots of the configuration and of the registry of backends.
+// The follow thread of a broker: keeps snapshots of the configuration and of the registry of
+// backends.
 #include <atomic>
 #include <map>
 #include <memory>
@@ -11,8 +12,8 @@
 #include "coordination/edges.h"
 #include "coordination/feed.h"
 #include "coordination/grants.h"
-#include "coordination/ring_gate.h"
 #include "coordination/registry.h"
+#include "coordination/ring_gate.h"
 #include "coordination/rollout.h"
 #include "protocol/steps.h"
 #include "state/configuration.h"
@@ -28,7 +29,7 @@
   std::vector<RosterEntry> backends;  // those that are ready or emptying
   bool is_ready = false;              // once true it stays so for this life
   std::uint64_t brokers = 1;
-  std::vector<BrokerSeat> seats;      // ready brokers of other regions
+  std::vector<BrokerSeat> seats;  // ready brokers of other regions
   Reserve reserve;
 };
 using ViewSnapshot = std::shared_ptr<const View>;
@@ -47,7 +48,7 @@
 };
 struct SampleNews {
   std::string samples;
-  Moment built{};       // not after the ages were counted
+  Moment built{};  // not after the ages were counted
 };
 
 // The ring a broker may act by, and until when.
@@ -89,13 +90,19 @@
 
 class Follower {
  public:
-  Follower(const Startup& startup, LifeId life, std::function<void(ViewSnapshot)> show, std::function<void(AidEvent)> tell);
+  Follower(const Startup& startup, LifeId life, std::function<void(ViewSnapshot)> show,
+           std::function<void(AidEvent)> tell);
   Fault open();
   void start();
   void stop();
-  bool send(AidOut out) { return outs_.push(std::move(out)); }
-  void set_leaving() { is_leaving_ = true; }
-  // Of a pooler: who is told of leads and samples; the follower tells the registries what was done by then.
+  bool send(AidOut out) {
+    return outs_.push(std::move(out));
+  }
+  void set_leaving() {
+    is_leaving_ = true;
+  }
+  // Of a pooler: who is told of leads and samples; the follower tells the registries what was done
+  // by then.
   void set_pooler(std::function<void(HoldNews)> hold, std::function<void(SampleNews)> sample) {
     hold_ = std::move(hold);
     sample_ = std::move(sample);
@@ -105,14 +112,25 @@
     waker_.wake();
   }
   // Of a broker: who is told of the ring.
-  void set_ring(std::function<void(RingNews)> ring) { ring_ = std::move(ring); }
+  void set_ring(std::function<void(RingNews)> ring) {
+    ring_ = std::move(ring);
+  }
   void confirm_ring(std::uint64_t mark) {
-    if (ring_confirmed_.exchange(mark) != mark) waker_.wake();
+    if (ring_confirmed_.exchange(mark) != mark)
+      waker_.wake();
+  }
+  void set_edges(std::function<void(EdgeNews)> edges) {
+    edges_ = std::move(edges);
+  }
+  void report_edges(std::string counts) {
+    edge_counts_.push(std::move(counts));
+  }
+  void report_ring(RingCounts counts) {
+    ring_counts_.push(std::move(counts));
+  }
+  void report(Evidence evidence) {
+    evidence_.push(std::move(evidence));
   }
-  void set_edges(std::function<void(EdgeNews)> edges) { edges_ = std::move(edges); }
-  void report_edges(std::string counts) { edge_counts_.push(std::move(counts)); }
-  void report_ring(RingCounts counts) { ring_counts_.push(std::move(counts)); }
-  void report(Evidence evidence) { evidence_.push(std::move(evidence)); }
   void set_contacts(const std::vector<Address>& contacts) {
     contacts_.replace(contacts);
   }
@@ -123,7 +141,7 @@
     std::uint64_t life = 0, mark = 0;  // of its roster, as far as taken
     LifeId beat_life;                  // of its last beat
     std::uint64_t serial = 0;
-    Moment beaten{};                   // when that came
+    Moment beaten{};  // when that came
   };
   void run();
   void reach_all();
@@ -165,7 +183,7 @@
   RosterBook book_;
   Turnover turnover_;
   Moment born_, follow_due_{}, fetch_due_{};
-  Version fetched_;       // last asked for, or waited for at the feed
+  Version fetched_;  // last asked for, or waited for at the feed
   Span fetch_pause_{0};
   bool is_ready_ = false, has_news_ = false;
   std::uint64_t brokers_ = 1;
--- a/src/programs/founding.cpp
+++ b/src/programs/founding.cpp
@@ -10,34 +10,45 @@
 // Of a founding member, from its address alone, so that all founders name each other alike.
 MemberId founder_id(const std::string& address) {
   std::uint64_t hash = 14695981039346656037ull;
-  for (const char letter : address) hash = (hash ^ static_cast<unsigned char>(letter)) * 1099511628211ull;
+  for (const char letter : address)
+    hash = (hash ^ static_cast<unsigned char>(letter)) * 1099511628211ull;
   return {hash | 1};
 }
 
-bool is_refused(Store::Found found) { return found == Store::Found::unknown_format || found == Store::Found::unreadable; }
+bool is_refused(Store::Found found) {
+  return found == Store::Found::unknown_format || found == Store::Found::unreadable;
+}
 
 }  // namespace
 
-std::optional<Durable> load_or_found(const Startup& startup, const Store& store, MemberId fresh, const std::function<bool()>& wait) {
+std::optional<Durable> load_or_found(const Startup& startup, const Store& store, MemberId fresh,
+                                     const std::function<bool()>& wait) {
   Durable durable;
   Fault why;
   Store::Found found = store.load(durable, why);
-  if (found == Store::Found::unknown_format) LOG(ERROR) << "disk: store of a later format, left as it is: " << why.text();
-  if (found == Store::Found::unreadable) LOG(ERROR) << "disk: store cannot be read, left as it is: " << why.text();
-  const bool was_refused = is_refused(found);  // then there was a store: whatever becomes of it, no core is founded
+  if (found == Store::Found::unknown_format)
+    LOG(ERROR) << "disk: store of a later format, left as it is: " << why.text();
+  if (found == Store::Found::unreadable)
+    LOG(ERROR) << "disk: store cannot be read, left as it is: " << why.text();
+  const bool was_refused =
+      is_refused(found);  // then there was a store: whatever becomes of it, no core is founded
   while (is_refused(found)) {
-    if (!wait()) return std::nullopt;
+    if (!wait())
+      return std::nullopt;
     found = store.load(durable, why);
   }
-  if (found == Store::Found::record) return durable;
-  if (found == Store::Found::damaged) LOG(ERROR) << "disk: store damaged, treated as lost: " << why.text();
+  if (found == Store::Found::record)
+    return durable;
+  if (found == Store::Found::damaged)
+    LOG(ERROR) << "disk: store damaged, treated as lost: " << why.text();
   auto entry = std::make_shared<Entry>();
   const std::string self = Address{startup.ip_address, startup.inner_port}.text();
   for (const Address& contact : startup.contacts) {
     const std::string address = Address{contact.host, startup.inner_port}.text();
     entry->members.push_back({founder_id(address), address});
   }
-  const bool is_founder = std::any_of(entry->members.begin(), entry->members.end(), [&](const Member& m) { return m.address == self; });
+  const bool is_founder = std::any_of(entry->members.begin(), entry->members.end(),
+                                      [&](const Member& m) { return m.address == self; });
   durable = {};
   if (startup.is_first_run && is_founder && found == Store::Found::nothing && !was_refused) {
     durable.self = founder_id(self);
--- a/src/programs/lookout.h
+++ b/src/programs/lookout.h
@@ -17,7 +17,9 @@
   Lookout(const Startup& startup, Ring<CoreEvent>& events);
   void start();
   void stop();
-  void order(WatchOrderSnapshot order) { orders_.replace(std::move(order)); }
+  void order(WatchOrderSnapshot order) {
+    orders_.replace(std::move(order));
+  }
 
   void on_outcome(Caller& caller, Moment now) override;
   void on_breakdown(Caller& caller, Kind kind, Moment now) override;
@@ -60,9 +62,11 @@
   Ring<WatchOrderSnapshot> orders_;
   WatchOrderSnapshot order_;
   std::map<std::string, Probe> probes_;
-  std::unordered_map<const Caller*, Probe*> by_caller_;  // invariant: every caller of a probe, until it is buried
+  std::unordered_map<const Caller*, Probe*>
+      by_caller_;  // invariant: every caller of a probe, until it is buried
   Listing listing_;
-  std::vector<std::unique_ptr<Caller>> graves_;  // freed between rounds, never inside their own calls
+  std::vector<std::unique_ptr<Caller>>
+      graves_;  // freed between rounds, never inside their own calls
   std::atomic<bool> should_stop_ = false;
   std::thread thread_;
 };
--- a/src/programs/pooler_program.cpp
+++ b/src/programs/pooler_program.cpp
@@ -19,8 +19,11 @@
   std::random_device device;
   const LifeId life{(static_cast<std::uint64_t>(device()) << 32) | device() | 1u};
   Pooling pooling(startup);
-  Follower follower(startup, life, [&pooling](ViewSnapshot view) { pooling.show(std::move(view)); }, [](AidEvent) {});
-  follower.set_pooler([&pooling](HoldNews news) { pooling.hold(std::move(news)); }, [&pooling](SampleNews news) { pooling.sample(std::move(news)); });
+  Follower follower(
+      startup, life, [&pooling](ViewSnapshot view) { pooling.show(std::move(view)); },
+      [](AidEvent) {});
+  follower.set_pooler([&pooling](HoldNews news) { pooling.hold(std::move(news)); },
+                      [&pooling](SampleNews news) { pooling.sample(std::move(news)); });
   pooling.set_follower(follower);
   for (const Fault& found : {follower.open(), pooling.open()})
     if (found) {
@@ -30,7 +33,8 @@
   follower.start();
   pooling.start();
   LOG(INFO) << "pooler: started as " << startup.node_name;
-  signals.serve(startup_path, false, [&](const Startup& changed) { follower.set_contacts(changed.contacts); });
+  signals.serve(startup_path, false,
+                [&](const Startup& changed) { follower.set_contacts(changed.contacts); });
   follower.set_leaving();
   pooling.leave();
   pooling.join();
--- a/src/programs/registry_program.cpp
+++ b/src/programs/registry_program.cpp
@@ -41,7 +41,8 @@
     LOG(INFO) << "registry: ended";
     return 0;
   }
-  if (Startup changed; has_waited && !read_startup(startup_path, true, changed)) startup = std::move(changed);
+  if (Startup changed; has_waited && !read_startup(startup_path, true, changed))
+    startup = std::move(changed);
   auto core = std::make_unique<Core>(startup, std::move(*durable), LifeId{draw_number()});
   Desk desk(startup, core->events());
   Lookout lookout(startup, core->events());
@@ -58,7 +59,8 @@
   envoy.start();
   core->start(desk, lookout, vault, envoy);
   LOG(INFO) << "registry: started as " << startup.node_name;
-  signals.serve(startup_path, true, [&](const Startup& changed) { core->set_contacts(changed.contacts); });
+  signals.serve(startup_path, true,
+                [&](const Startup& changed) { core->set_contacts(changed.contacts); });
   core->leave();
   core->join();
   desk.stop();
--- a/src/programs/ring_program.cpp
+++ b/src/programs/ring_program.cpp
@@ -15,48 +15,76 @@
 namespace saddlewing {
 namespace {
 
-enum Exit { balanced = 0, failed = 1, usage = 2, overloaded = 3 };
+enum Exit {
+  balanced = 0,
+  failed = 1,
+  usage = 2,
+  overloaded = 3
+};
 
-std::string text_of(const Json::Value& value) { return value.isString() ? value.asString() : value.isNull() ? "-" : value.asString(); }
+std::string text_of(const Json::Value& value) {
+  return value.isString() ? value.asString() : value.isNull() ? "-" : value.asString();
+}
 
 std::string unit_of(const Json::Value& value) {
-  return value.isMember("account") ? "account " + text_of(value["account"]) : "virtual node " + text_of(value["virtual_node"]);
+  return value.isMember("account") ? "account " + text_of(value["account"])
+                                   : "virtual node " + text_of(value["virtual_node"]);
 }
 
 void print_report(const Json::Value& root) {
-  std::printf("ring edition %s, %s\n\n%-24s %8s %10s %12s %10s %10s\n", root["edition"].asString().c_str(),
-              !root["enough"].asBool() ? "too few askings to judge" : root["balanced"].asBool() ? "balanced" : "overloaded", "node", "share", "askings",
-              "busy ms", "memory MB", "disk MB");
+  std::printf("ring edition %s, %s\n\n%-24s %8s %10s %12s %10s %10s\n",
+              root["edition"].asString().c_str(),
+              !root["enough"].asBool()    ? "too few askings to judge"
+              : root["balanced"].asBool() ? "balanced"
+                                          : "overloaded",
+              "node", "share", "askings", "busy ms", "memory MB", "disk MB");
   for (const Json::Value& node : root["nodes"])
-    std::printf("%-24s %7.0f%% %10.0f %12.0f %10.0f %10.0f%s\n", text_of(node["node"]).c_str(), node["share"].asDouble() * 100, node["askings"].asDouble(),
-                node["busy_ms"].asDouble(), node["memory_mb"].asDouble(), node["disk_mb"].asDouble(), node["over"].asBool() ? "  carries too much" : "");
-  if (!root["accounts"].empty()) std::printf("\n%-32s %-24s %10s %12s\n", "busiest accounts", "node", "askings", "busy ms");
+    std::printf("%-24s %7.0f%% %10.0f %12.0f %10.0f %10.0f%s\n", text_of(node["node"]).c_str(),
+                node["share"].asDouble() * 100, node["askings"].asDouble(),
+                node["busy_ms"].asDouble(), node["memory_mb"].asDouble(),
+                node["disk_mb"].asDouble(), node["over"].asBool() ? "  carries too much" : "");
+  if (!root["accounts"].empty())
+    std::printf("\n%-32s %-24s %10s %12s\n", "busiest accounts", "node", "askings", "busy ms");
   for (const Json::Value& account : root["accounts"])
-    std::printf("%-32s %-24s %10.0f %12.0f%s\n", text_of(account["account"]).c_str(), text_of(account["node"]).c_str(), account["askings"].asDouble(),
+    std::printf("%-32s %-24s %10.0f %12.0f%s\n", text_of(account["account"]).c_str(),
+                text_of(account["node"]).c_str(), account["askings"].asDouble(),
                 account["busy_ms"].asDouble(), account["placed"].asBool() ? "  placed" : "");
   for (const Json::Value& move : root["proposals"])
-    std::printf("\nmove %s from %s to %s\n  takes %.0f askings, %.0f busy ms, %.0f MB of memory, %.0f MB of disk; cost %.2f\n  then %s is at %.0f%% and %s at %.0f%%\n",
-                unit_of(move).c_str(), text_of(move["from"]).c_str(), text_of(move["to"]).c_str(), move["askings"].asDouble(), move["busy_ms"].asDouble(),
-                move["memory_mb"].asDouble(), move["disk_mb"].asDouble(), move["cost"].asDouble(), text_of(move["from"]).c_str(), move["share_from"].asDouble() * 100,
-                text_of(move["to"]).c_str(), move["share_to"].asDouble() * 100);
-  for (const Json::Value& remark : root["remarks"]) std::printf("%s\n", text_of(remark).c_str());
-  for (const Json::Value& missing : root["missing"]) std::printf("no counts from %s\n", text_of(missing).c_str());
+    std::printf(
+        "\nmove %s from %s to %s\n  takes %.0f askings, %.0f busy ms, %.0f MB of memory, %.0f MB "
+        "of disk; cost %.2f\n  then %s is at %.0f%% and %s at %.0f%%\n",
+        unit_of(move).c_str(), text_of(move["from"]).c_str(), text_of(move["to"]).c_str(),
+        move["askings"].asDouble(), move["busy_ms"].asDouble(), move["memory_mb"].asDouble(),
+        move["disk_mb"].asDouble(), move["cost"].asDouble(), text_of(move["from"]).c_str(),
+        move["share_from"].asDouble() * 100, text_of(move["to"]).c_str(),
+        move["share_to"].asDouble() * 100);
+  for (const Json::Value& remark : root["remarks"])
+    std::printf("%s\n", text_of(remark).c_str());
+  for (const Json::Value& missing : root["missing"])
+    std::printf("no counts from %s\n", text_of(missing).c_str());
 }
 
 void print_status(const Json::Value& root) {
-  if (root["paused"].asBool()) std::printf("paused: short lookups miss their aims\n");
-  std::printf("%6s %-32s %-20s %-20s %-9s %7s  %s\n", "move", "what", "from", "to", "step", "copied", "why");
+  if (root["paused"].asBool())
+    std::printf("paused: short lookups miss their aims\n");
+  std::printf("%6s %-32s %-20s %-20s %-9s %7s  %s\n", "move", "what", "from", "to", "step",
+              "copied", "why");
   for (const Json::Value& move : root["moves"])
-    std::printf("%6s %-32s %-20s %-20s %-9s %6.0f%%  %s\n", text_of(move["move"]).c_str(), unit_of(move).c_str(), text_of(move["from"]).c_str(),
-                text_of(move["to"]).c_str(), text_of(move["step"]).c_str(), move["copied"].asDouble() * 100, text_of(move["why"]).c_str());
-  std::printf("%s accounts are placed elsewhere than the ring has them\n", text_of(root["placed"]).c_str());
+    std::printf("%6s %-32s %-20s %-20s %-9s %6.0f%%  %s\n", text_of(move["move"]).c_str(),
+                unit_of(move).c_str(), text_of(move["from"]).c_str(), text_of(move["to"]).c_str(),
+                text_of(move["step"]).c_str(), move["copied"].asDouble() * 100,
+                text_of(move["why"]).c_str());
+  std::printf("%s accounts are placed elsewhere than the ring has them\n",
+              text_of(root["placed"]).c_str());
 }
 
 }  // namespace
 
-int run_ring(const std::vector<std::string>& words, const std::vector<std::string>& contacts, bool is_json, int wait_ms) {
+int run_ring(const std::vector<std::string>& words, const std::vector<std::string>& contacts,
+             bool is_json, int wait_ms) {
   RingCall call{words[0], {}};
-  for (std::size_t place = 1; place < words.size(); ++place) (call.text += place > 1 ? " " : "") += words[place];
+  for (std::size_t place = 1; place < words.size(); ++place)
+    (call.text += place > 1 ? " " : "") += words[place];
   if (call.verb == "apply") {
     std::ifstream file(words[1]);
     std::ostringstream text;
@@ -84,11 +112,16 @@
     std::cerr << "ring: the answer is not understood\n";
     return failed;
   }
-  if (is_json) std::cout << answer.text << "\n";
-  else if (call.verb == "report" || call.verb == "propose") print_report(root);
-  else if (call.verb == "status") print_status(root);
-  else std::cout << "ring: taken\n";
-  const bool is_over = (call.verb == "report" || call.verb == "propose") && root["enough"].asBool() && !root["balanced"].asBool();
+  if (is_json)
+    std::cout << answer.text << "\n";
+  else if (call.verb == "report" || call.verb == "propose")
+    print_report(root);
+  else if (call.verb == "status")
+    print_status(root);
+  else
+    std::cout << "ring: taken\n";
+  const bool is_over = (call.verb == "report" || call.verb == "propose") &&
+                       root["enough"].asBool() && !root["balanced"].asBool();
   return is_over ? overloaded : balanced;
 }
 
--- a/src/programs/rings.h
+++ b/src/programs/rings.h
@@ -50,7 +50,7 @@
   std::string text;                  // empty: the call of duty for this backend
   std::string node_order;            // to a node of the ring instead: JSON
   std::uint64_t owner_number = 0;    // the term under whose lease it was decided
-  Moment until{};                    // nothing of it leaves after that, unless the lease of that term was extended
+  Moment until{};  // nothing of it leaves after that, unless the lease of that term was extended
 };
 
 struct Saved {  // disk to agree
@@ -63,7 +63,8 @@
 struct Renewed {  // watch to agree: a probe was answered
   std::string id;
 };
-using CoreEvent = std::variant<OperatorCall, Saved, Listed, Renewed, BackendCall, Examined, Raised, NodeTold>;
+using CoreEvent =
+    std::variant<OperatorCall, Saved, Listed, Renewed, BackendCall, Examined, Raised, NodeTold>;
 
 struct WatchTarget {
   std::string id, address, health_path;
--- a/src/programs/signals.h
+++ b/src/programs/signals.h
@@ -2,12 +2,12 @@
 // Signals and changes of the startup file, for the main thread.
 #include <sys/stat.h>
 
+#include <glog/logging.h>
+#include <poll.h>
 #include <atomic>
 #include <cerrno>
 #include <csignal>
-#include <poll.h>
 #include <functional>
-#include <glog/logging.h>
 #include <optional>
 #include <string>
 #include <utility>
@@ -27,35 +27,48 @@
     action.sa_handler = [](int number) {
       const int before = errno;  // of whatever thread this came upon
       (number == SIGHUP ? should_reload_ : should_stop_) = true;
-      if (const Waker* waker = waker_) waker->wake();
+      if (const Waker* waker = waker_)
+        waker->wake();
       errno = before;
     };
-    for (const int number : {SIGTERM, SIGINT, SIGHUP}) sigaction(number, &action, nullptr);
+    for (const int number : {SIGTERM, SIGINT, SIGHUP})
+      sigaction(number, &action, nullptr);
+  }
+  ~Signals() {
+    waker_ = nullptr;
   }
-  ~Signals() { waker_ = nullptr; }
 
   void wait(int milliseconds) {
     pollfd waiting{own_.descriptor(), POLLIN, 0};
-    if (::poll(&waiting, 1, milliseconds) > 0) own_.clear();
+    if (::poll(&waiting, 1, milliseconds) > 0)
+      own_.clear();
+  }
+  bool is_ending() const {
+    return should_stop_;
   }
-  bool is_ending() const { return should_stop_; }
-  // The first settings that can be used. A wrong file is named once and waited for; nothing is begun by it. None: told to end.
+  // The first settings that can be used. A wrong file is named once and waited for; nothing is
+  // begun by it. None: told to end.
   std::optional<Startup> await_startup(const std::string& path, bool is_registry) {
     bool was_named = false;
     while (!should_stop_) {
       Startup startup;
       const Fault found = read_startup(path, is_registry, startup);
-      if (!found) return startup;
-      if (!std::exchange(was_named, true)) LOG(ERROR) << "startup: refused, waits for a better one: " << found.text();
+      if (!found)
+        return startup;
+      if (!std::exchange(was_named, true))
+        LOG(ERROR) << "startup: refused, waits for a better one: " << found.text();
       wait(1000);
     }
     return std::nullopt;
   }
-  // Until SIGTERM; a startup read again goes to `take`, a wrong one is logged and the old one stays.
-  void serve(const std::string& path, bool is_registry, const std::function<void(const Startup&)>& take) {
+  // Until SIGTERM; a startup read again goes to `take`, a wrong one is logged and the old one
+  // stays.
+  void serve(const std::string& path, bool is_registry,
+             const std::function<void(const Startup&)>& take) {
     while (!should_stop_) {
       wait(1000);
-      if (!should_reload(path)) continue;
+      if (!should_reload(path))
+        continue;
       Startup changed;
       if (Fault found = read_startup(path, is_registry, changed)) {
         LOG(ERROR) << "startup: kept as it was: " << found.text();
@@ -70,12 +83,16 @@
   // Differs when the file changed; 0: there is none.
   static long long change_of(const std::string& path) {
     struct stat facts {};
-    return ::stat(path.c_str(), &facts) == 0 ? facts.st_mtim.tv_sec * 1000000000ll + facts.st_mtim.tv_nsec + facts.st_size : 0;
+    return ::stat(path.c_str(), &facts) == 0
+               ? facts.st_mtim.tv_sec * 1000000000ll + facts.st_mtim.tv_nsec + facts.st_size
+               : 0;
   }
   // True once after SIGHUP or after the file changed without one.
   bool should_reload(const std::string& path) {
     if (const long long changed = change_of(path)) {
-      if (changed != last_change_) should_reload_ = true;  // a file that was missing may have been read meanwhile, in whichever state
+      if (changed != last_change_)
+        should_reload_ =
+            true;  // a file that was missing may have been read meanwhile, in whichever state
       last_change_ = changed;
     }
     return should_reload_.exchange(false);
--- a/src/programs/tracer_program.cpp
+++ b/src/programs/tracer_program.cpp
@@ -23,7 +23,8 @@
 class Inquiry {
  public:
   Inquiry(const std::vector<std::string>& contacts, Span most) : until_(Clock::now() + most) {
-    for (const std::string& contact : contacts) add(contact);
+    for (const std::string& contact : contacts)
+      add(contact);
   }
   void run() {
     while (Clock::now() < until_ && found_.size() < spokes_.size()) {
@@ -31,7 +32,8 @@
       std::vector<void*> handles;
       for (const auto& [address, spoke] : spokes_) {
         handles.push_back(spoke->handle());
-        if (!found_.contains(address) && now - asked_[address] >= ask_again && spoke->send(encode_trace({FrameKind::trace, {}, {}})))
+        if (!found_.contains(address) && now - asked_[address] >= ask_again &&
+            spoke->send(encode_trace({FrameKind::trace, {}, {}})))
           asked_[address] = now;
       }
       wait_links(handles, waker_, std::min(ask_again, std::chrono::ceil<Span>(until_ - now)));
@@ -41,19 +43,25 @@
           ByteReader reader(parcel->bytes);
           FrameHead head;
           Traced traced;
-          if (!decode_head(reader, head) || head.kind != FrameKind::traced || !decode(reader, traced)) continue;
+          if (!decode_head(reader, head) || head.kind != FrameKind::traced ||
+              !decode(reader, traced))
+            continue;
           heard_of.insert(heard_of.end(), traced.registries.begin(), traced.registries.end());
           heard_of.insert(heard_of.end(), traced.brokers.begin(), traced.brokers.end());
           found_.try_emplace(address, Found{std::move(traced), Clock::now()});
         }
-      for (const std::string& address : heard_of) add(address);
+      for (const std::string& address : heard_of)
+        add(address);
     }
   }
-  const std::map<std::string, Found>& found() const { return found_; }
+  const std::map<std::string, Found>& found() const {
+    return found_;
+  }
   std::vector<std::string> silent() const {
     std::vector<std::string> silent;
     for (const auto& [address, spoke] : spokes_)
-      if (!found_.contains(address)) silent.push_back(address);
+      if (!found_.contains(address))
+        silent.push_back(address);
     return silent;
   }
 
@@ -61,7 +69,8 @@
   static constexpr Span ask_again{100};
   void add(const std::string& text) {
     Address address;
-    if (!spokes_.contains(text) && parse_address(text, address)) spokes_[text] = std::make_unique<Spoke>(context_, address);
+    if (!spokes_.contains(text) && parse_address(text, address))
+      spokes_[text] = std::make_unique<Spoke>(context_, address);
   }
   Moment until_;
   LinkContext context_;
@@ -76,7 +85,8 @@
   Moment when{};
 };
 
-void print_json(Version version, const std::vector<Line>& lines, Moment first, const Inquiry& inquiry) {
+void print_json(Version version, const std::vector<Line>& lines, Moment first,
+                const Inquiry& inquiry) {
   Json::Value root(Json::objectValue);
   root["edition"] = static_cast<Json::Int64>(version.value);
   root["steps"] = Json::Value(Json::arrayValue);
@@ -100,52 +110,68 @@
     root["nodes"].append(node);
   }
   root["silent"] = Json::Value(Json::arrayValue);
-  for (const std::string& address : inquiry.silent()) root["silent"].append(address);
+  for (const std::string& address : inquiry.silent())
+    root["silent"].append(address);
   std::cout << root.toStyledString();
 }
 
-void print_table(Version version, const std::vector<Line>& lines, Moment first, const Inquiry& inquiry) {
+void print_table(Version version, const std::vector<Line>& lines, Moment first,
+                 const Inquiry& inquiry) {
   std::size_t width = 4;
-  for (const auto& [address, found] : inquiry.found()) width = std::max(width, found.traced.node.size());
-  std::printf("edition %lld\n%8s  %-*s  %-8s  %s\n", static_cast<long long>(version.value), "ms", static_cast<int>(width), "node", "role", "step");
+  for (const auto& [address, found] : inquiry.found())
+    width = std::max(width, found.traced.node.size());
+  std::printf("edition %lld\n%8s  %-*s  %-8s  %s\n", static_cast<long long>(version.value), "ms",
+              static_cast<int>(width), "node", "role", "step");
   for (const Line& line : lines)
-    std::printf("%8lld  %-*s  %-8s  %s\n", static_cast<long long>(span_between(first, line.when).count()), static_cast<int>(width),
-                line.node.c_str(), line.role.c_str(), line.what.c_str());
+    std::printf("%8lld  %-*s  %-8s  %s\n",
+                static_cast<long long>(span_between(first, line.when).count()),
+                static_cast<int>(width), line.node.c_str(), line.role.c_str(), line.what.c_str());
   for (const auto& [address, found] : inquiry.found())
     if (found.traced.held < version)
-      std::printf("lags: %s (%s) holds edition %lld\n", found.traced.node.c_str(), address.c_str(), static_cast<long long>(found.traced.held.value));
-  for (const std::string& address : inquiry.silent()) std::printf("silent: %s\n", address.c_str());
+      std::printf("lags: %s (%s) holds edition %lld\n", found.traced.node.c_str(), address.c_str(),
+                  static_cast<long long>(found.traced.held.value));
+  for (const std::string& address : inquiry.silent())
+    std::printf("silent: %s\n", address.c_str());
 }
 
 }  // namespace
 
-int run_tracer(std::int64_t number, const std::vector<std::string>& contacts, bool is_json, int wait_ms) {
+int run_tracer(std::int64_t number, const std::vector<std::string>& contacts, bool is_json,
+               int wait_ms) {
   const Version version{number};
   Inquiry inquiry(contacts, Span(wait_ms));
   inquiry.run();
   if (inquiry.found().empty()) {
-    for (const std::string& contact : contacts) std::cerr << "tracer: " << contact << " does not answer\n";
+    for (const std::string& contact : contacts)
+      std::cerr << "tracer: " << contact << " does not answer\n";
     return 1;
   }
   std::vector<Line> lines;
   Version newest;
   for (const auto& [address, found] : inquiry.found()) {
     newest = std::max(newest, found.traced.held);
-    // Clocks differ between nodes, so steps come with their age; what the answer took on its way blurs them.
+    // Clocks differ between nodes, so steps come with their age; what the answer took on its way
+    // blurs them.
     for (const Step& step : found.traced.steps)
       if (step.version == version)
-        lines.push_back({found.traced.node, found.traced.role, address, step.what, found.heard - Span(static_cast<std::int64_t>(step.age))});
+        lines.push_back({found.traced.node, found.traced.role, address, step.what,
+                         found.heard - Span(static_cast<std::int64_t>(step.age))});
   }
   if (lines.empty()) {
     std::cerr << "tracer: edition " << number
-              << (version > newest ? " is unknown: the newest held anywhere is " : " is not in any node's steps any more, or never was: the newest held is ")
+              << (version > newest
+                      ? " is unknown: the newest held anywhere is "
+                      : " is not in any node's steps any more, or never was: the newest held is ")
               << newest.value << "\n";
     return 1;
   }
-  std::sort(lines.begin(), lines.end(), [](const Line& left, const Line& right) { return left.when < right.when; });
+  std::sort(lines.begin(), lines.end(),
+            [](const Line& left, const Line& right) { return left.when < right.when; });
   const Moment first = lines.front().when;
-  if (is_json) print_json(version, lines, first, inquiry);
-  else print_table(version, lines, first, inquiry);
+  if (is_json)
+    print_json(version, lines, first, inquiry);
+  else
+    print_table(version, lines, first, inquiry);
   return 0;
 }
 
--- a/src/programs/vault.h
+++ b/src/programs/vault.h
@@ -2,8 +2,8 @@
 // The disk thread: it alone waits on syncs.
 #include <poll.h>
 
-#include <atomic>
 #include <glog/logging.h>
+#include <atomic>
 #include <thread>
 
 #include "programs/rings.h"
@@ -15,14 +15,20 @@
 class Vault {
  public:
   Vault(Store& store, Ring<CoreEvent>& events)
-      : store_(store), events_(events), saves_(4, [this] { waker_.wake(); }) {}
-  void start() { thread_ = std::thread([this] { run(); }); }
-  bool save(Agreement::Save save) { return saves_.push(std::move(save)); }
+      : store_(store), events_(events), saves_(4, [this] { waker_.wake(); }) {
+  }
+  void start() {
+    thread_ = std::thread([this] { run(); });
+  }
+  bool save(Agreement::Save save) {
+    return saves_.push(std::move(save));
+  }
   // A stuck disk must not keep the process: its thread is left behind.
   void stop() {
     should_stop_ = true;
     waker_.wake();
-    if (thread_.joinable()) thread_.detach();
+    if (thread_.joinable())
+      thread_.detach();
   }
 
  private:
@@ -33,10 +39,13 @@
       waker_.clear();
       for (const Agreement::Save& save : saves_.take()) {
         const Fault found = store_.save(save.durable);
-        if (found) metrics().add(Metric::saves_failed);
-        if (found) LOG(ERROR) << "disk: save failed: " << found.text();
+        if (found)
+          metrics().add(Metric::saves_failed);
+        if (found)
+          LOG(ERROR) << "disk: save failed: " << found.text();
         // Without this word nothing is saved any more, so it waits for room.
-        while (!should_stop_ && !events_.push(Saved{save.serial, !found})) std::this_thread::sleep_for(1ms);
+        while (!should_stop_ && !events_.push(Saved{save.serial, !found}))
+          std::this_thread::sleep_for(1ms);
       }
     }
   }
--- a/src/protocol/calls.h
+++ b/src/protocol/calls.h
@@ -4,7 +4,18 @@
 
 namespace saddlewing {
 
-enum class Call { put_settings, get_settings, readiness, list_backends, probe_backend, metrics, beat, leave, raise, move_step };
+enum class Call {
+  put_settings,
+  get_settings,
+  readiness,
+  list_backends,
+  probe_backend,
+  metrics,
+  beat,
+  leave,
+  raise,
+  move_step
+};
 
 struct CallRow {
   Call call;
@@ -13,21 +24,18 @@
 };
 
 inline constexpr CallRow calls[] = {
-    {Call::put_settings, "PUT", "/settings"},
-    {Call::get_settings, "GET", "/settings"},
-    {Call::readiness, "GET", "/readiness"},
-    {Call::list_backends, "GET", "/backends"},
-    {Call::probe_backend, "GET", ""},
-    {Call::metrics, "GET", "/metrics"},
-    {Call::beat, "PUT", "/backends/"},   // and the backend's id
-    {Call::leave, "DELETE", "/backends/"},
-    {Call::raise, "POST", "/raise"},
+    {Call::put_settings, "PUT", "/settings"}, {Call::get_settings, "GET", "/settings"},
+    {Call::readiness, "GET", "/readiness"},   {Call::list_backends, "GET", "/backends"},
+    {Call::probe_backend, "GET", ""},         {Call::metrics, "GET", "/metrics"},
+    {Call::beat, "PUT", "/backends/"},  // and the backend's id
+    {Call::leave, "DELETE", "/backends/"},    {Call::raise, "POST", "/raise"},
     {Call::move_step, "POST", "/ring/moves"},  // of this project, to nodes of the ring
 };
 
 constexpr const CallRow& row_of(Call call) {
   for (const CallRow& row : calls)
-    if (row.call == call) return row;
+    if (row.call == call)
+      return row;
   return calls[0];
 }
 
@@ -43,8 +51,10 @@
 inline constexpr const char* part_seals = "Part-Seals";
 inline constexpr const char* duty_owner = "Duty-Owner";
 inline constexpr const char* owner_number = "Owner-Number";
-inline constexpr const char* ring_mark = "Ring-Mark";  // to nodes of the ring: the sheet that the request goes by
-inline constexpr const char* ring_show = "Ring-Show";  // of the unit on the move there: it is part of this answer,
+inline constexpr const char* ring_mark =
+    "Ring-Mark";  // to nodes of the ring: the sheet that the request goes by
+inline constexpr const char* ring_show =
+    "Ring-Show";  // of the unit on the move there: it is part of this answer,
 inline constexpr const char* ring_hide = "Ring-Hide";  // or not
 inline constexpr const char* parts_missing = "Parts-Missing";
 }  // namespace field
--- a/src/protocol/core_status.cpp
+++ b/src/protocol/core_status.cpp
@@ -4,22 +4,44 @@
 
 const char* name_of(CoreStatus::Role role) {
   switch (role) {
-    case CoreStatus::Role::follower: return "follower";
-    case CoreStatus::Role::pre_candidate: return "pre-candidate";
-    case CoreStatus::Role::candidate: return "candidate";
-    case CoreStatus::Role::leader: break;
+    case CoreStatus::Role::follower:
+      return "follower";
+    case CoreStatus::Role::pre_candidate:
+      return "pre-candidate";
+    case CoreStatus::Role::candidate:
+      return "candidate";
+    case CoreStatus::Role::leader:
+      break;
   }
   return "leader";
 }
 
-std::string encode_core_status_request(const FrameHead& head) { return open_frame(head, FrameKind::core_status_request).take(); }
+std::string encode_core_status_request(const FrameHead& head) {
+  return open_frame(head, FrameKind::core_status_request).take();
+}
 
 std::string encode(const FrameHead& head, const CoreStatus& value) {
   Writer writer = open_frame(head, FrameKind::core_status);
-  writer.text(value.node).number(value.self.value).text(value.address).number(static_cast<std::uint64_t>(value.role)).number(value.is_voter).number(value.is_removed);
-  writer.number(value.term.value).text(value.leader).number(value.leader_heard).number(value.has_committed).number(value.committed_term.value);
-  writer.number(value.committed.value).number(value.last.value).number(value.leader_last.value).number(static_cast<std::uint64_t>(value.version.value));
-  writer.number(value.core_size).number(value.is_confirmed).number(value.is_save_failing).number(value.is_save_stuck).number(value.saving);
+  writer.text(value.node)
+      .number(value.self.value)
+      .text(value.address)
+      .number(static_cast<std::uint64_t>(value.role))
+      .number(value.is_voter)
+      .number(value.is_removed);
+  writer.number(value.term.value)
+      .text(value.leader)
+      .number(value.leader_heard)
+      .number(value.has_committed)
+      .number(value.committed_term.value);
+  writer.number(value.committed.value)
+      .number(value.last.value)
+      .number(value.leader_last.value)
+      .number(static_cast<std::uint64_t>(value.version.value));
+  writer.number(value.core_size)
+      .number(value.is_confirmed)
+      .number(value.is_save_failing)
+      .number(value.is_save_stuck)
+      .number(value.saving);
   writer.number(value.peers.size());
   for (const CoreStatus::Peer& peer : value.peers) {
     writer.number(peer.id.value).text(peer.address).number(peer.is_voter).number(peer.is_known);
@@ -33,7 +55,8 @@
   value.self.value = reader.number();
   value.address = reader.text();
   const std::uint64_t role = reader.number();
-  if (role > static_cast<std::uint64_t>(CoreStatus::Role::leader)) return false;
+  if (role > static_cast<std::uint64_t>(CoreStatus::Role::leader))
+    return false;
   value.role = static_cast<CoreStatus::Role>(role);
   value.is_voter = reader.number();
   value.is_removed = reader.number();
--- a/src/protocol/frames.cpp
+++ b/src/protocol/frames.cpp
@@ -7,45 +7,64 @@
 
 void write_texts(Writer& writer, const std::vector<std::string>& texts) {
   writer.number(texts.size());
-  for (const std::string& text : texts) writer.text(text);
+  for (const std::string& text : texts)
+    writer.text(text);
 }
 
 void read_texts(ByteReader& reader, std::vector<std::string>& texts) {
   texts.resize(reader.count(8));
-  for (std::string& text : texts) text = reader.text();
+  for (std::string& text : texts)
+    text = reader.text();
 }
 
 template <class Enum>
 bool read_enum(ByteReader& reader, Enum& value, Enum last) {
   const std::uint64_t number = reader.number();
-  if (number > static_cast<std::uint64_t>(last)) return false;
+  if (number > static_cast<std::uint64_t>(last))
+    return false;
   value = static_cast<Enum>(number);
   return true;
 }
 
-Version read_version(ByteReader& reader) { return Version{static_cast<std::int64_t>(reader.number())}; }
+Version read_version(ByteReader& reader) {
+  return Version{static_cast<std::int64_t>(reader.number())};
+}
 
 }  // namespace
 
 Writer open_frame(const FrameHead& head, FrameKind kind) {
   Writer writer;
-  writer.number(protocol_number).number(static_cast<std::uint64_t>(kind)).number(head.life.value).text(head.from);
+  writer.number(protocol_number)
+      .number(static_cast<std::uint64_t>(kind))
+      .number(head.life.value)
+      .text(head.from);
   return writer;
 }
 
 const char* name_of(Status status) {
   switch (status) {
-    case Status::up: return "UP";
-    case Status::down: return "DOWN";
-    case Status::starting: return "STARTING";
-    case Status::out_of_service: return "OUT_OF_SERVICE";
-    case Status::unknown: break;
+    case Status::up:
+      return "UP";
+    case Status::down:
+      return "DOWN";
+    case Status::starting:
+      return "STARTING";
+    case Status::out_of_service:
+      return "OUT_OF_SERVICE";
+    case Status::unknown:
+      break;
   }
   return "UNKNOWN";
 }
 
 std::string encode(const FrameHead& head, const Forward& value) {
-  return open_frame(head, FrameKind::forward).number(value.token).number(value.is_read).number(value.version.value).text(value.body).number(value.term.value).take();
+  return open_frame(head, FrameKind::forward)
+      .number(value.token)
+      .number(value.is_read)
+      .number(value.version.value)
+      .text(value.body)
+      .number(value.term.value)
+      .take();
 }
 
 bool decode(ByteReader& reader, Forward& value) {
@@ -58,8 +77,16 @@
 }
 
 std::string encode(const FrameHead& head, const Forwarded& value) {
-  return open_frame(head, FrameKind::forwarded).number(value.token).number(value.asker.value).number(value.is_read).number(value.version.value).number(value.digest)
-      .number(value.term.value).number(value.is_done).text(value.body).take();
+  return open_frame(head, FrameKind::forwarded)
+      .number(value.token)
+      .number(value.asker.value)
+      .number(value.is_read)
+      .number(value.version.value)
+      .number(value.digest)
+      .number(value.term.value)
+      .number(value.is_done)
+      .text(value.body)
+      .take();
 }
 
 bool decode(ByteReader& reader, Forwarded& value) {
@@ -76,10 +103,32 @@
 
 std::string encode(const FrameHead& head, const Follow& value) {
   Writer writer = open_frame(head, FrameKind::follow);
-  writer.number(value.version.value).number(value.roster_life).number(value.roster_mark).number(value.wants_body).number(value.wants_roster);
-  writer.text(value.region).number(value.is_ready).number(value.seats_mark).number(value.token).number(value.leads_mark).text(value.locality).text(value.failing).text(value.fine).text(value.samples);
-  writer.number(value.samples_age).number(value.ring_mark).number(value.ring_held).text(value.ring_loads).text(value.account_loads).number(value.lookups).number(value.late_lookups);
-  writer.text(value.edge_counts).number(value.edges_held).number(value.echo_life.value).number(value.echo).number(value.gap);
+  writer.number(value.version.value)
+      .number(value.roster_life)
+      .number(value.roster_mark)
+      .number(value.wants_body)
+      .number(value.wants_roster);
+  writer.text(value.region)
+      .number(value.is_ready)
+      .number(value.seats_mark)
+      .number(value.token)
+      .number(value.leads_mark)
+      .text(value.locality)
+      .text(value.failing)
+      .text(value.fine)
+      .text(value.samples);
+  writer.number(value.samples_age)
+      .number(value.ring_mark)
+      .number(value.ring_held)
+      .text(value.ring_loads)
+      .text(value.account_loads)
+      .number(value.lookups)
+      .number(value.late_lookups);
+  writer.text(value.edge_counts)
+      .number(value.edges_held)
+      .number(value.echo_life.value)
+      .number(value.echo)
+      .number(value.gap);
   return writer.take();
 }
 
@@ -115,18 +164,37 @@
 
 std::string encode(const FrameHead& head, const Beat& value) {
   Writer writer = open_frame(head, FrameKind::beat);
-  writer.number(value.term.value).number(value.asker.value).number(value.token).number(value.version.value).number(value.in_force.value).number(value.is_confirmed).number(value.is_filled).number(value.is_leader);
-  writer.text(value.locality).text(value.region).number(value.brokers).number(value.grant).number(value.grant_valid);
+  writer.number(value.term.value)
+      .number(value.asker.value)
+      .number(value.token)
+      .number(value.version.value)
+      .number(value.in_force.value)
+      .number(value.is_confirmed)
+      .number(value.is_filled)
+      .number(value.is_leader);
+  writer.text(value.locality)
+      .text(value.region)
+      .number(value.brokers)
+      .number(value.grant)
+      .number(value.grant_valid);
   write_texts(writer, value.registries);
   writer.number(value.seats_mark).number(value.seats.size());
-  for (const BrokerSeat& seat : value.seats) writer.text(seat.address).text(seat.region);
-  writer.number(value.hold).number(value.leads_mark).text(value.leads).text(value.samples).number(value.serial).number(value.ring_mark).text(value.ring);
+  for (const BrokerSeat& seat : value.seats)
+    writer.text(seat.address).text(seat.region);
+  writer.number(value.hold)
+      .number(value.leads_mark)
+      .text(value.leads)
+      .text(value.samples)
+      .number(value.serial)
+      .number(value.ring_mark)
+      .text(value.ring);
   writer.number(value.edges_in_force).text(value.edges);
   return writer.take();
 }
 
 bool decode(ByteReader& reader, Beat& value) {
-  value.term.value = reader.number(), value.asker.value = reader.number(), value.token = reader.number();
+  value.term.value = reader.number(), value.asker.value = reader.number(),
+  value.token = reader.number();
   value.version = read_version(reader);
   value.in_force = read_version(reader);
   value.is_confirmed = reader.number();
@@ -168,12 +236,28 @@
 
 std::string encode(const FrameHead& head, const Roster& value) {
   Writer writer = open_frame(head, FrameKind::roster);
-  writer.number(value.is_whole).number(value.is_observed).number(value.is_filled).number(value.wants_whole).text(value.locality).number(value.base).number(value.mark);
+  writer.number(value.is_whole)
+      .number(value.is_observed)
+      .number(value.is_filled)
+      .number(value.wants_whole)
+      .text(value.locality)
+      .number(value.base)
+      .number(value.mark);
   writer.number(value.entries.size());
   for (const RosterEntry& entry : value.entries) {
-    writer.text(entry.id).text(entry.service).text(entry.address).text(entry.locality).text(entry.software);
-    writer.number(entry.capacity).number(static_cast<std::uint64_t>(entry.phase)).number(static_cast<std::uint64_t>(entry.status));
-    writer.number(entry.stamp).number(entry.warm_left).number(entry.hold_left).number(entry.is_leader).number(entry.call_count);
+    writer.text(entry.id)
+        .text(entry.service)
+        .text(entry.address)
+        .text(entry.locality)
+        .text(entry.software);
+    writer.number(entry.capacity)
+        .number(static_cast<std::uint64_t>(entry.phase))
+        .number(static_cast<std::uint64_t>(entry.status));
+    writer.number(entry.stamp)
+        .number(entry.warm_left)
+        .number(entry.hold_left)
+        .number(entry.is_leader)
+        .number(entry.call_count);
   }
   return writer.take();
 }
@@ -194,7 +278,9 @@
     entry.locality = reader.text();
     entry.software = reader.text();
     entry.capacity = reader.number();
-    if (!read_enum(reader, entry.phase, Phase::gone) || !read_enum(reader, entry.status, Status::unknown)) return false;
+    if (!read_enum(reader, entry.phase, Phase::gone) ||
+        !read_enum(reader, entry.status, Status::unknown))
+      return false;
     entry.stamp = reader.number();
     entry.warm_left = reader.number();
     entry.hold_left = reader.number();
@@ -204,12 +290,19 @@
   return reader.is_whole();
 }
 
-std::string encode_trace(const FrameHead& head) { return open_frame(head, FrameKind::trace).take(); }
+std::string encode_trace(const FrameHead& head) {
+  return open_frame(head, FrameKind::trace).take();
+}
 
 std::string encode(const FrameHead& head, const Traced& value) {
   Writer writer = open_frame(head, FrameKind::traced);
-  writer.text(value.node).text(value.role).number(value.held.value).number(value.is_leader).number(value.steps.size());
-  for (const Step& step : value.steps) writer.number(step.version.value).text(step.what).number(step.age);
+  writer.text(value.node)
+      .text(value.role)
+      .number(value.held.value)
+      .number(value.is_leader)
+      .number(value.steps.size());
+  for (const Step& step : value.steps)
+    writer.number(step.version.value).text(step.what).number(step.age);
   write_texts(writer, value.registries);
   write_texts(writer, value.brokers);
   return writer.take();
@@ -233,7 +326,11 @@
 
 std::string encode(const FrameHead& head, const Aid& value) {
   Writer writer = open_frame(head, FrameKind::aid);
-  writer.number(value.token).text(value.method).text(value.try_id).text(value.head_start).text(value.body);
+  writer.number(value.token)
+      .text(value.method)
+      .text(value.try_id)
+      .text(value.head_start)
+      .text(value.body);
   write_texts(writer, value.services);
   writer.number(value.best_count).number(value.time_left).number(value.flush_after);
   return writer.take();
@@ -255,9 +352,11 @@
 std::string encode(const FrameHead& head, const Aided& value) {
   Writer writer = open_frame(head, FrameKind::aided);
   writer.number(value.token).number(value.done.size());
-  for (const Aided::Done& done : value.done) writer.number(done.part).text(done.seal);
+  for (const Aided::Done& done : value.done)
+    writer.number(done.part).text(done.seal);
   writer.number(value.failed.size());
-  for (const Aided::Failed& failed : value.failed) writer.number(failed.part).number(failed.kind).number(failed.may_have_run);
+  for (const Aided::Failed& failed : value.failed)
+    writer.number(failed.part).number(failed.kind).number(failed.may_have_run);
   writer.number(value.held).text(value.records);
   return writer.take();
 }
@@ -283,7 +382,8 @@
 std::string encode(const FrameHead& head, const RenewedIds& value) {
   Writer writer = open_frame(head, FrameKind::renewed);
   writer.number(value.items.size());
-  for (const RenewedIds::Item& item : value.items) writer.text(item.id).number(item.call_count).number(item.age).number(item.is_leader);
+  for (const RenewedIds::Item& item : value.items)
+    writer.text(item.id).number(item.call_count).number(item.age).number(item.is_leader);
   return writer.take();
 }
 
@@ -308,7 +408,12 @@
 }
 
 std::string encode(const FrameHead& head, const RingAnswer& value) {
-  return open_frame(head, FrameKind::ring_answer).number(value.is_done).text(value.leader).text(value.reason).text(value.text).take();
+  return open_frame(head, FrameKind::ring_answer)
+      .number(value.is_done)
+      .text(value.leader)
+      .text(value.reason)
+      .text(value.text)
+      .take();
 }
 
 bool decode(ByteReader& reader, RingAnswer& value) {
@@ -322,7 +427,8 @@
 std::string encode(const FrameHead& head, const EdgeSums& value) {
   Writer writer = open_frame(head, FrameKind::edge_sums);
   writer.number(value.term.value).number(value.regions.size());
-  for (const auto& [region, counts] : value.regions) writer.text(region).text(counts);
+  for (const auto& [region, counts] : value.regions)
+    writer.text(region).text(counts);
   return writer.take();
 }
 
@@ -339,7 +445,8 @@
 std::string encode(const FrameHead& head, const EdgeViewFrame& value) {
   Writer writer = open_frame(head, FrameKind::edge_view);
   writer.number(value.term.value).number(value.in_force).text(value.view).number(value.ways.size());
-  for (const auto& [way, least] : value.ways) writer.text(way.first).text(way.second).number(static_cast<std::uint64_t>(least * 1000));
+  for (const auto& [way, least] : value.ways)
+    writer.text(way.first).text(way.second).number(static_cast<std::uint64_t>(least * 1000));
   return writer.take();
 }
 
@@ -355,9 +462,12 @@
 }
 
 bool decode_head(ByteReader& reader, FrameHead& head) {
-  if (reader.number() != protocol_number) return false;
+  if (reader.number() != protocol_number)
+    return false;
   const std::uint64_t kind = reader.number();
-  if (kind < static_cast<std::uint64_t>(FrameKind::raft) || kind > static_cast<std::uint64_t>(FrameKind::core_status)) return false;
+  if (kind < static_cast<std::uint64_t>(FrameKind::raft) ||
+      kind > static_cast<std::uint64_t>(FrameKind::core_status))
+    return false;
   head.kind = static_cast<FrameKind>(kind);
   head.life.value = reader.number();
   head.from = reader.text();
--- a/src/protocol/frames.h
+++ b/src/protocol/frames.h
@@ -1,6 +1,7 @@
 #pragma once
-// Frames between the system's own processes. Each opens with the protocol's number, its kind, the sender's life
-// and the sender's inner address; whatever does not decode whole is foreign or damaged and is dropped.
+// Frames between the system's own processes. Each opens with the protocol's number, its kind, the
+// sender's life and the sender's inner address; whatever does not decode whole is foreign or
+// damaged and is dropped.
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -14,22 +15,22 @@
 namespace saddlewing {
 
 enum class FrameKind : std::uint64_t {
-  raft = 1,     // agreement between registries
-  forward,      // an operator's call handed to the leader
-  forwarded,    // its outcome
-  follow,       // a broker says what it holds
-  beat,         // a registry says what it holds
-  body,         // a configuration
-  roster,       // entries of the registry of backends
-  trace,        // the tracer asks
-  traced,       // a node's recent steps
-  aid,          // a broker has parts gathered by one near the backends
-  aided,        // what came of it
-  renewed,      // backends that told a registry of themselves
-  ring_call,    // an operator's call concerning the ring
+  raft = 1,   // agreement between registries
+  forward,    // an operator's call handed to the leader
+  forwarded,  // its outcome
+  follow,     // a broker says what it holds
+  beat,       // a registry says what it holds
+  body,       // a configuration
+  roster,     // entries of the registry of backends
+  trace,      // the tracer asks
+  traced,     // a node's recent steps
+  aid,        // a broker has parts gathered by one near the backends
+  aided,      // what came of it
+  renewed,    // backends that told a registry of themselves
+  ring_call,  // an operator's call concerning the ring
   ring_answer,
-  edge_sums,    // how fast edges answered, from a registry to the leader
-  edge_view,    // what the leader made of it, to its peers
+  edge_sums,            // how fast edges answered, from a registry to the leader
+  edge_view,            // what the leader made of it, to its peers
   core_status_request,  // an operator asks what a registry knows of its core; see core_status.h
   core_status,
 };
@@ -40,15 +41,16 @@
   std::string from;  // inner address of the sender; empty for a tool
 };
 
-// A part of an entry on its way: the entry's head, and some of the bytes by which its content differs from an entry that the
-// receiver holds. A large entry travels in many, so that no beat waits behind it.
+// A part of an entry on its way: the entry's head, and some of the bytes by which its content
+// differs from an entry that the receiver holds. A large entry travels in many, so that no beat
+// waits behind it.
 struct EntryPiece {
   Term term;
   Index index;
   Version version;
   std::uint32_t core_size = 0;
   std::vector<Member> members, former;
-  Term base_term;                        // of the entry that it builds on; all 0: on none
+  Term base_term;  // of the entry that it builds on; all 0: on none
   Index base_index;
   struct Kept {
     std::uint64_t prefix = 0, suffix = 0;  // bytes of the base that stay
@@ -56,27 +58,40 @@
     auto operator<=>(const Kept&) const = default;
   };
   Kept body, sheets;
-  std::uint64_t digest = 0;              // XXH3 of the whole content
-  std::uint64_t total = 0, offset = 0;   // of the bytes on their way
+  std::uint64_t digest = 0;             // XXH3 of the whole content
+  std::uint64_t total = 0, offset = 0;  // of the bytes on their way
   std::string bytes;
 };
 
 struct RaftMessage {
-  enum class Type : std::uint64_t { pre_vote, pre_voted, vote, voted, append, appended, transfer, join, joined, leave, left };
+  enum class Type : std::uint64_t {
+    pre_vote,
+    pre_voted,
+    vote,
+    voted,
+    append,
+    appended,
+    transfer,
+    join,
+    joined,
+    leave,
+    left
+  };
   Type type{};
   MemberId from;
   std::string address;
   Term term;
-  Term entry_term;      // the sender's last entry
+  Term entry_term;  // the sender's last entry
   Index entry_index;
-  Index commit;         // of append: the newest entry of this term that is committed
+  Index commit;  // of append: the newest entry of this term that is committed
   std::uint64_t round = 0;
   bool is_granted = false;
-  bool is_transfer = false;  // the vote follows a hand-over: a live leader is no objection
-  bool is_removed = false;     // the receiver is no member any more
-  bool is_confirmed = false;    // of append: a majority answered the leader of late
+  bool is_transfer = false;         // the vote follows a hand-over: a live leader is no objection
+  bool is_removed = false;          // the receiver is no member any more
+  bool is_confirmed = false;        // of append: a majority answered the leader of late
   std::optional<EntryPiece> piece;  // with append, while the follower lacks the entry
-  // With appended: how far the entry on its way came; is_granted says that the entry named above is on disk.
+  // With appended: how far the entry on its way came; is_granted says that the entry named above is
+  // on disk.
   Index piece_index;
   std::uint64_t piece_end = 0;
   bool wants_whole = false;     // what came built on an entry that is not held
@@ -89,7 +104,7 @@
   bool is_read = false;
   Version version;
   std::string body;
-  Term term;                // as known to the sender
+  Term term;  // as known to the sender
 };
 
 // Names what it answers: whoever asked believes nothing else.
@@ -99,16 +114,17 @@
   bool is_read = false;
   Version version;           // as asked
   std::uint64_t digest = 0;  // of the body sent with the call
-  Term term;                 // of the sender; of a read: it led in it when a majority confirmed the answer
+  Term term;  // of the sender; of a read: it led in it when a majority confirmed the answer
   bool is_done = false;
-  std::string body;          // what was read, or the acknowledgement
+  std::string body;  // what was read, or the acknowledgement
 };
 
 struct Follow {
   Version version;
-  std::uint64_t roster_life = 0, roster_mark = 0;  // what the broker holds of this registry's roster
+  std::uint64_t roster_life = 0,
+                roster_mark = 0;  // what the broker holds of this registry's roster
   bool wants_body = false;
-  bool wants_roster = false;     // this registry feeds it: roster and seats come from here
+  bool wants_roster = false;  // this registry feeds it: roster and seats come from here
   std::string region;
   bool is_ready = false;
   std::uint64_t seats_mark = 0;  // of the seats it knows
@@ -116,19 +132,20 @@
   // Of a pooler:
   std::uint64_t leads_mark = 0;  // the table of leads it acts by; 0 of a broker
   std::string locality;          // empty of a broker
-  std::string failing, fine;     // a bit for each lead of that table: nothing but breakdowns of late; heard of late
-  std::string samples;           // places in logs, see coordination/samples.h
-  std::uint64_t samples_age = 0; // milliseconds since they were gathered
+  std::string failing,
+      fine;  // a bit for each lead of that table: nothing but breakdowns of late; heard of late
+  std::string samples;            // places in logs, see coordination/samples.h
+  std::uint64_t samples_age = 0;  // milliseconds since they were gathered
   // Of a broker, where a ring is in force:
-  std::uint64_t ring_mark = 0;   // of the sheet it acts by alone
-  std::uint64_t ring_held = 0;   // of the sheet it has
-  std::string ring_loads;        // what it sent to each virtual node since its last follow
-  std::string account_loads;     // the same of its busiest accounts
+  std::uint64_t ring_mark = 0;  // of the sheet it acts by alone
+  std::uint64_t ring_held = 0;  // of the sheet it has
+  std::string ring_loads;       // what it sent to each virtual node since its last follow
+  std::string account_loads;    // the same of its busiest accounts
   std::uint64_t lookups = 0, late_lookups = 0;  // short ones, and how many of them missed their aim
   // Of a broker, where the view of edges is on:
-  std::string edge_counts;       // to its feed, since the last
-  std::uint64_t edges_held = 0;  // mark of the newest view it has
-  LifeId echo_life;              // of this registry, as the last beat heard of it named it;
+  std::string edge_counts;          // to its feed, since the last
+  std::uint64_t edges_held = 0;     // mark of the newest view it has
+  LifeId echo_life;                 // of this registry, as the last beat heard of it named it;
   std::uint64_t echo = 0, gap = 0;  // that beat, and milliseconds since
 };
 
@@ -139,32 +156,32 @@
 };
 
 struct Beat {
-  Term term;                  // in which the sender leads or follows a leader; 0: it knows of none
-  LifeId asker;               // the broker's life that it is for
-  std::uint64_t token = 0;    // of that broker's last follow
+  Term term;                // in which the sender leads or follows a leader; 0: it knows of none
+  LifeId asker;             // the broker's life that it is for
+  std::uint64_t token = 0;  // of that broker's last follow
   Version version;
   Version in_force;           // every broker heard of late holds it, or the wait for that is over
   bool is_confirmed = false;  // a quorum stands behind it
   bool is_filled = false;     // its roster was refilled since it started
   bool is_leader = false;     // it leads in that term, under a lease
-  std::string locality, region;  // of the registry
-  std::uint64_t brokers = 0;  // brokers heard of late
-  std::uint64_t grant = 0;    // thousandths of a further try, from the leader alone
-  std::uint64_t grant_valid = 0;  // milliseconds; 0: no word of a grant
+  std::string locality, region;         // of the registry
+  std::uint64_t brokers = 0;            // brokers heard of late
+  std::uint64_t grant = 0;              // thousandths of a further try, from the leader alone
+  std::uint64_t grant_valid = 0;        // milliseconds; 0: no word of a grant
   std::vector<std::string> registries;  // inner addresses of the core
   std::uint64_t seats_mark = 0;         // of the ready brokers
-  std::vector<BrokerSeat> seats;        // they themselves, unless the broker knows this mark already
+  std::vector<BrokerSeat> seats;  // they themselves, unless the broker knows this mark already
   // To a pooler:
-  std::uint64_t hold = 0;        // milliseconds from that follow's leaving; 0: none granted
+  std::uint64_t hold = 0;  // milliseconds from that follow's leaving; 0: none granted
   std::uint64_t leads_mark = 0;
-  std::string leads;             // the table, unless the pooler has this mark
-  std::string samples;           // with ages as of this beat's leaving
-  std::uint64_t serial = 0;      // of this beat, for the echo
+  std::string leads;         // the table, unless the pooler has this mark
+  std::string samples;       // with ages as of this beat's leaving
+  std::uint64_t serial = 0;  // of this beat, for the echo
   // To a broker:
-  std::uint64_t ring_mark = 0;   // 0: no ring
-  std::string ring;              // the sheet, unless the broker has it
+  std::uint64_t ring_mark = 0;       // 0: no ring
+  std::string ring;                  // the sheet, unless the broker has it
   std::uint64_t edges_in_force = 0;  // from the leader alone; 0: no word of it
-  std::string edges;             // the newest view, unless the broker has it
+  std::string edges;                 // the newest view, unless the broker has it
 };
 
 // An operator's call, from the command line, and its outcome.
@@ -173,20 +190,21 @@
 };
 struct RingAnswer {
   bool is_done = false;
-  std::string leader;      // not done, and another leads: ask there
-  std::string reason;      // not done
-  std::string text;        // JSON
+  std::string leader;  // not done, and another leads: ask there
+  std::string reason;  // not done
+  std::string text;    // JSON
 };
 
 struct EdgeSums {
   Term term;
-  std::vector<std::pair<std::string, std::string>> regions;  // by region of the asking brokers: counts as they travel
+  std::vector<std::pair<std::string, std::string>>
+      regions;  // by region of the asking brokers: counts as they travel
 };
 struct EdgeViewFrame {
   Term term;  // in which the sender leads
   std::uint64_t in_force = 0;
-  std::string view;                                             // empty: there is none yet
-  std::map<std::pair<std::string, std::string>, double> ways;   // see EdgeJudge
+  std::string view;                                            // empty: there is none yet
+  std::map<std::pair<std::string, std::string>, double> ways;  // see EdgeJudge
 };
 
 struct Body {
@@ -194,8 +212,18 @@
   std::string body;  // packed
 };
 
-enum class Phase : std::uint64_t { ready, emptying, gone };
-enum class Status : std::uint64_t { up, down, starting, out_of_service, unknown };
+enum class Phase : std::uint64_t {
+  ready,
+  emptying,
+  gone
+};
+enum class Status : std::uint64_t {
+  up,
+  down,
+  starting,
+  out_of_service,
+  unknown
+};
 const char* name_of(Status status);
 
 // An entry as it travels: spans, never instants.
@@ -204,7 +232,7 @@
   std::uint64_t capacity = 1;
   Phase phase{};
   Status status = Status::starting;
-  std::uint64_t stamp = 0;  // of status and hold; the greater wins
+  std::uint64_t stamp = 0;                     // of status and hold; the greater wins
   std::uint64_t warm_left = 0, hold_left = 0;  // milliseconds
   bool is_leader = false;                      // of a database, as it sees itself
   std::uint64_t call_count = 0;                // of its own calls
@@ -221,11 +249,11 @@
 };
 
 struct Roster {
-  bool is_whole = false;      // everything, not only what changed since `base`
-  bool is_observed = false;   // the sender lists the platform itself at present
+  bool is_whole = false;     // everything, not only what changed since `base`
+  bool is_observed = false;  // the sender lists the platform itself at present
   bool is_filled = false;
-  bool wants_whole = false;   // the sender missed something of the receiver's
-  std::string locality;       // of the sender
+  bool wants_whole = false;  // the sender missed something of the receiver's
+  std::string locality;      // of the sender
   std::uint64_t base = 0, mark = 0;
   std::vector<RosterEntry> entries;
 };
@@ -233,8 +261,8 @@
 // One step in the life of an version at a node.
 struct Step {
   Version version;
-  std::string what;        // taken, committed, sent, held, in force
-  std::uint64_t age = 0;   // milliseconds before the reply
+  std::string what;       // taken, committed, sent, held, in force
+  std::uint64_t age = 0;  // milliseconds before the reply
 };
 
 struct Traced {
--- a/src/state/bytes.h
+++ b/src/state/bytes.h
@@ -11,7 +11,8 @@
 class Writer {
  public:
   Writer& number(std::uint64_t value) {
-    for (int shift = 0; shift < 64; shift += 8) bytes_.push_back(static_cast<char>(value >> shift));
+    for (int shift = 0; shift < 64; shift += 8)
+      bytes_.push_back(static_cast<char>(value >> shift));
     return *this;
   }
   Writer& text(std::string_view value) {
@@ -19,27 +20,36 @@
     bytes_.append(value);
     return *this;
   }
-  const std::string& bytes() const { return bytes_; }
-  std::string take() { return std::move(bytes_); }
+  const std::string& bytes() const {
+    return bytes_;
+  }
+  std::string take() {
+    return std::move(bytes_);
+  }
 
  private:
   std::string bytes_;
 };
 
-// Invariant: after the first read beyond the end every read gives 0 or nothing, and is_whole stays false.
+// Invariant: after the first read beyond the end every read gives 0 or nothing, and is_whole stays
+// false.
 class ByteReader {
  public:
-  explicit ByteReader(std::string_view bytes) : rest_(bytes) {}
+  explicit ByteReader(std::string_view bytes) : rest_(bytes) {
+  }
   std::uint64_t number() {
-    if (rest_.size() < 8) return fail(), 0;
+    if (rest_.size() < 8)
+      return fail(), 0;
     std::uint64_t value = 0;
-    for (int place = 7; place >= 0; --place) value = value << 8 | static_cast<unsigned char>(rest_[place]);
+    for (int place = 7; place >= 0; --place)
+      value = value << 8 | static_cast<unsigned char>(rest_[place]);
     rest_.remove_prefix(8);
     return value;
   }
   std::string text() {
     const std::uint64_t size = number();
-    if (size > rest_.size()) return fail(), std::string();
+    if (size > rest_.size())
+      return fail(), std::string();
     std::string value(rest_.substr(0, size));
     rest_.remove_prefix(size);
     return value;
@@ -47,11 +57,16 @@
   // A count of items that take at least `least` bytes each: never more than could be there.
   std::uint64_t count(std::uint64_t least) {
     const std::uint64_t value = number();
-    if (value > rest_.size() / least) return fail(), 0;
+    if (value > rest_.size() / least)
+      return fail(), 0;
     return value;
   }
-  bool is_good() const { return is_good_; }
-  bool is_whole() const { return is_good_ && rest_.empty(); }
+  bool is_good() const {
+    return is_good_;
+  }
+  bool is_whole() const {
+    return is_good_ && rest_.empty();
+  }
 
  private:
   void fail() {
@@ -64,7 +79,8 @@
 
 inline void write_members(Writer& writer, const std::vector<Member>& members) {
   writer.number(members.size());
-  for (const Member& member : members) writer.number(member.id.value).text(member.address);
+  for (const Member& member : members)
+    writer.number(member.id.value).text(member.address);
 }
 
 inline void read_members(ByteReader& reader, std::vector<Member>& members) {
@@ -76,13 +92,19 @@
 }
 
 inline void write_entry(Writer& writer, const Entry& entry) {
-  writer.number(entry.term.value).number(entry.index.value).number(entry.version.value).text(entry.body);
+  writer.number(entry.term.value)
+      .number(entry.index.value)
+      .number(entry.version.value)
+      .text(entry.body);
   writer.number(entry.core_size);
   write_members(writer, entry.members);
-  if (entry.sheets.empty() && entry.former.empty()) return;  // as records of earlier versions end
+  if (entry.sheets.empty() && entry.former.empty())
+    return;  // as records of earlier versions end
   writer.number(entry.sheets.size());
-  for (const auto& [name, text] : entry.sheets) writer.text(name).text(text);
-  if (!entry.former.empty()) write_members(writer, entry.former);
+  for (const auto& [name, text] : entry.sheets)
+    writer.text(name).text(text);
+  if (!entry.former.empty())
+    write_members(writer, entry.former);
 }
 
 inline void read_entry(ByteReader& reader, Entry& entry) {
@@ -92,12 +114,14 @@
   entry.body = reader.text();
   entry.core_size = static_cast<std::uint32_t>(reader.number());
   read_members(reader, entry.members);
-  if (reader.is_whole()) return;
+  if (reader.is_whole())
+    return;
   for (std::uint64_t left = reader.count(16); left > 0; --left) {
     std::string name = reader.text();
     entry.sheets[std::move(name)] = reader.text();
   }
-  if (!reader.is_whole()) read_members(reader, entry.former);
+  if (!reader.is_whole())
+    read_members(reader, entry.former);
 }
 
 }  // namespace saddlewing
--- a/src/state/configuration.h
+++ b/src/state/configuration.h
@@ -27,7 +27,12 @@
 
 // Invariant: exactly one of `shares` and `shards` is filled; a plain `service` is one share.
 // How a database's sessions read; `none` for requests.
-enum class Sight { none, leader, bounded, own_writes };
+enum class Sight {
+  none,
+  leader,
+  bounded,
+  own_writes
+};
 
 struct Rule {
   std::string name, host, path_start;
@@ -49,7 +54,8 @@
   Span change_rest{3000};  // how long a transaction may rest
 };
 
-// Invariant: rules of a host are ordered by falling length of their prefix; every index is within `services`.
+// Invariant: rules of a host are ordered by falling length of their prefix; every index is within
+// `services`.
 struct Configuration {
   Version version;
   std::vector<Service> services;
--- a/src/state/disk.cpp
+++ b/src/state/disk.cpp
@@ -20,29 +20,41 @@
 constexpr std::size_t piece_bytes = 64u << 10;
 
 struct CloseEnvironment {
-  void operator()(MDB_env* environment) const { mdb_env_close(environment); }
+  void operator()(MDB_env* environment) const {
+    mdb_env_close(environment);
+  }
 };
 using Environment = std::unique_ptr<MDB_env, CloseEnvironment>;
 
 struct AbortTransaction {
-  void operator()(MDB_txn* transaction) const { mdb_txn_abort(transaction); }
+  void operator()(MDB_txn* transaction) const {
+    mdb_txn_abort(transaction);
+  }
 };
 using Transaction = std::unique_ptr<MDB_txn, AbortTransaction>;
 
 struct FreeState {
-  void operator()(XXH3_state_t* state) const { XXH3_freeState(state); }
+  void operator()(XXH3_state_t* state) const {
+    XXH3_freeState(state);
+  }
 };
 
 class Descriptor {
  public:
-  explicit Descriptor(int number) : number_(number) {}
+  explicit Descriptor(int number) : number_(number) {
+  }
   ~Descriptor() {
-    if (number_ >= 0) ::close(number_);
+    if (number_ >= 0)
+      ::close(number_);
   }
   Descriptor(const Descriptor&) = delete;
   Descriptor& operator=(const Descriptor&) = delete;
-  int number() const { return number_; }
-  bool is_open() const { return number_ >= 0; }
+  int number() const {
+    return number_;
+  }
+  bool is_open() const {
+    return number_ >= 0;
+  }
 
  private:
   int number_;
@@ -51,10 +63,12 @@
 Environment open_environment(const std::string& path, unsigned flags, int& code) {
   MDB_env* raw = nullptr;
   code = mdb_env_create(&raw);
-  if (code) return nullptr;
+  if (code)
+    return nullptr;
   Environment environment(raw);
   code = mdb_env_set_mapsize(raw, map_bytes);
-  if (!code) code = mdb_env_open(raw, path.c_str(), flags | MDB_NOSUBDIR | MDB_NOLOCK | MDB_NOTLS, 0644);
+  if (!code)
+    code = mdb_env_open(raw, path.c_str(), flags | MDB_NOSUBDIR | MDB_NOLOCK | MDB_NOTLS, 0644);
   return code ? nullptr : std::move(environment);
 }
 
@@ -64,13 +78,19 @@
 }
 
 // Bytes from `offset` up to `end` or the file's end, in pieces.
-int read_range(int descriptor, std::uint64_t offset, std::uint64_t end, const std::function<void(std::string_view)>& take) {
+int read_range(int descriptor, std::uint64_t offset, std::uint64_t end,
+               const std::function<void(std::string_view)>& take) {
   std::vector<char> piece(std::min<std::uint64_t>(piece_bytes, end - offset));
   while (offset < end) {
-    const ssize_t got = ::pread(descriptor, piece.data(), std::min<std::uint64_t>(piece.size(), end - offset), static_cast<off_t>(offset));
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0) return errno;
-    if (got == 0) return EIO;  // cut while it was read
+    const ssize_t got =
+        ::pread(descriptor, piece.data(), std::min<std::uint64_t>(piece.size(), end - offset),
+                static_cast<off_t>(offset));
+    if (got < 0 && errno == EINTR)
+      continue;
+    if (got < 0)
+      return errno;
+    if (got == 0)
+      return EIO;  // cut while it was read
     take({piece.data(), static_cast<std::size_t>(got)});
     offset += static_cast<std::uint64_t>(got);
   }
@@ -79,8 +99,10 @@
 
 int size_of(const Descriptor& file, std::uint64_t& size) {
   struct stat facts {};
-  if (!file.is_open() || ::fstat(file.number(), &facts) != 0) return errno;
-  if (!S_ISREG(facts.st_mode)) return EISDIR;
+  if (!file.is_open() || ::fstat(file.number(), &facts) != 0)
+    return errno;
+  if (!S_ISREG(facts.st_mode))
+    return EISDIR;
   size = static_cast<std::uint64_t>(facts.st_size);
   return 0;
 }
@@ -95,68 +117,92 @@
 int Disk::write_image(const std::string& path, const std::string& record) {
   int code = 0;
   const Environment environment = open_environment(path, MDB_NOSYNC, code);
-  if (!environment) return code;
+  if (!environment)
+    return code;
   MDB_txn* raw = nullptr;
   code = mdb_txn_begin(environment.get(), nullptr, 0, &raw);
-  if (code) return code;
+  if (code)
+    return code;
   Transaction transaction(raw);
   MDB_dbi table = 0;
-  MDB_val key{sizeof record_key, const_cast<char*>(record_key)}, value{record.size(), const_cast<char*>(record.data())};
+  MDB_val key{sizeof record_key, const_cast<char*>(record_key)},
+      value{record.size(), const_cast<char*>(record.data())};
   code = mdb_dbi_open(raw, nullptr, 0, &table);
-  if (!code) code = mdb_put(raw, table, &key, &value, 0);
+  if (!code)
+    code = mdb_put(raw, table, &key, &value, 0);
   return code ? code : mdb_txn_commit(transaction.release());
 }
 
 int Disk::read_image(const std::string& path, std::string& record) const {
   int code = 0;
   const Environment environment = open_environment(path, MDB_RDONLY, code);
-  if (!environment) return code;
+  if (!environment)
+    return code;
   MDB_txn* raw = nullptr;
   code = mdb_txn_begin(environment.get(), nullptr, MDB_RDONLY, &raw);
-  if (code) return code;
+  if (code)
+    return code;
   const Transaction transaction(raw);
   MDB_dbi table = 0;
   MDB_val key{sizeof record_key, const_cast<char*>(record_key)}, value{};
   code = mdb_dbi_open(raw, nullptr, 0, &table);
-  if (!code) code = mdb_get(raw, table, &key, &value);
-  if (!code) record.assign(static_cast<const char*>(value.mv_data), value.mv_size);
+  if (!code)
+    code = mdb_get(raw, table, &key, &value);
+  if (!code)
+    record.assign(static_cast<const char*>(value.mv_data), value.mv_size);
   return code;
 }
 
 int Disk::write(const std::string& path, std::uint64_t offset, const std::string& bytes) {
   const Descriptor file(::open(path.c_str(), O_WRONLY | O_CLOEXEC));
-  if (!file.is_open()) return errno;
-  const ssize_t written = ::pwrite(file.number(), bytes.data(), bytes.size(), static_cast<off_t>(offset));
-  if (written < 0) return errno;
+  if (!file.is_open())
+    return errno;
+  const ssize_t written =
+      ::pwrite(file.number(), bytes.data(), bytes.size(), static_cast<off_t>(offset));
+  if (written < 0)
+    return errno;
   return static_cast<std::size_t>(written) == bytes.size() ? 0 : ENOSPC;
 }
 
-int Disk::sync(const std::string& path) { return sync_at(path, O_RDWR); }
+int Disk::sync(const std::string& path) {
+  return sync_at(path, O_RDWR);
+}
 
-int Disk::sync_folder(const std::string& folder) { return sync_at(folder, O_RDONLY | O_DIRECTORY); }
+int Disk::sync_folder(const std::string& folder) {
+  return sync_at(folder, O_RDONLY | O_DIRECTORY);
+}
 
-int Disk::remove(const std::string& path) { return ::unlink(path.c_str()) == 0 ? 0 : errno; }
+int Disk::remove(const std::string& path) {
+  return ::unlink(path.c_str()) == 0 ? 0 : errno;
+}
 
 int Disk::inspect(const std::string& path, std::size_t tail_size, Contents& contents) const {
   contents = {};
   const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
   std::uint64_t size = 0;
-  if (const int code = size_of(file, size)) return code;
+  if (const int code = size_of(file, size))
+    return code;
   contents.size = size - std::min<std::uint64_t>(size, tail_size);
   const std::unique_ptr<XXH3_state_t, FreeState> state(XXH3_createState());
-  if (!state) return ENOMEM;
+  if (!state)
+    return ENOMEM;
   XXH3_64bits_reset(state.get());
-  const auto hash = [&](std::string_view piece) { XXH3_64bits_update(state.get(), piece.data(), piece.size()); };
-  if (const int code = read_range(file.number(), 0, contents.size, hash)) return code;
+  const auto hash = [&](std::string_view piece) {
+    XXH3_64bits_update(state.get(), piece.data(), piece.size());
+  };
+  if (const int code = read_range(file.number(), 0, contents.size, hash))
+    return code;
   contents.digest = XXH3_64bits_digest(state.get());
-  return read_range(file.number(), contents.size, size, [&](std::string_view piece) { contents.tail.append(piece); });
+  return read_range(file.number(), contents.size, size,
+                    [&](std::string_view piece) { contents.tail.append(piece); });
 }
 
 int Disk::read(const std::string& path, std::string& bytes) const {
   bytes.clear();
   const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
   std::uint64_t size = 0;
-  if (const int code = size_of(file, size)) return code;
+  if (const int code = size_of(file, size))
+    return code;
   bytes.reserve(size);
   return read_range(file.number(), 0, size, [&](std::string_view piece) { bytes.append(piece); });
 }
--- a/src/state/error.cpp
+++ b/src/state/error.cpp
@@ -43,14 +43,19 @@
 
 const Row& row_of(Kind kind) {
   for (const Row& row : rows)
-    if (row.kind == kind) return row;
+    if (row.kind == kind)
+      return row;
   return rows[1];
 }
 
 class Category final : public std::error_category {
  public:
-  const char* name() const noexcept override { return "saddlewing"; }
-  std::string message(int value) const override { return row_of(static_cast<Kind>(value)).text; }
+  const char* name() const noexcept override {
+    return "saddlewing";
+  }
+  std::string message(int value) const override {
+    return row_of(static_cast<Kind>(value)).text;
+  }
 };
 
 }  // namespace
@@ -67,7 +72,8 @@
 
 std::string Fault::text() const {
   std::string text = step.empty() ? code.message() : step + ": " + code.message();
-  if (!peer.empty()) text += " (" + peer + ")";
+  if (!peer.empty())
+    text += " (" + peer + ")";
   return text;
 }
 
--- a/src/state/error.h
+++ b/src/state/error.h
@@ -9,26 +9,51 @@
 enum class Kind {
   none = 0,
   // what a client sent
-  malformed, length_required_conflict, unsupported_coding, head_too_large, body_too_large, too_slow, wrong_method,
-  no_rule, wrong_content, expectation,
+  malformed,
+  length_required_conflict,
+  unsupported_coding,
+  head_too_large,
+  body_too_large,
+  too_slow,
+  wrong_method,
+  no_rule,
+  wrong_content,
+  expectation,
   // what this system could not do, with nothing run
-  not_ready, overloaded, nobody_up, no_leader, draining,
+  not_ready,
+  overloaded,
+  nobody_up,
+  no_leader,
+  draining,
   // what a backend did, possibly after running
-  turned_away, refused_connection, silent, broke_off, garbled, deadline_reached,
+  turned_away,
+  refused_connection,
+  silent,
+  broke_off,
+  garbled,
+  deadline_reached,
   // configuration and startup
-  invalid, unreadable,
+  invalid,
+  unreadable,
   // disk and links
-  disk, damaged, link, closed
+  disk,
+  damaged,
+  link,
+  closed
 };
 
 const std::error_category& category();
-inline std::error_code make_error_code(Kind kind) { return {static_cast<int>(kind), category()}; }
+inline std::error_code make_error_code(Kind kind) {
+  return {static_cast<int>(kind), category()};
+}
 
 struct Fault {
   std::error_code code;
   std::string step;  // where it arose; for a file, the field
   std::string peer;  // with whom; empty when there is none
-  explicit operator bool() const { return static_cast<bool>(code); }
+  explicit operator bool() const {
+    return static_cast<bool>(code);
+  }
   std::string text() const;
 };
 
@@ -36,7 +61,8 @@
   return {make_error_code(kind), std::move(step), std::move(peer)};
 }
 
-// Status and reason of an answer follow from the kind alone. 408, 421, 429 and 503 promise that nothing ran.
+// Status and reason of an answer follow from the kind alone. 408, 421, 429 and 503 promise that
+// nothing ran.
 struct StatusLine {
   int status;
   const char* reason;
--- a/src/state/leads.h
+++ b/src/state/leads.h
@@ -10,14 +10,19 @@
 namespace saddlewing {
 
 struct Lead {
-  // led: poolers under a hold use `id`. closing: nobody may. raising: `target` is to be named to the platform.
-  enum class Phase : std::uint64_t { led, closing, raising };
+  // led: poolers under a hold use `id`. closing: nobody may. raising: `target` is to be named to
+  // the platform.
+  enum class Phase : std::uint64_t {
+    led,
+    closing,
+    raising
+  };
   std::string service, id;
   std::string target;
   Phase phase = Phase::led;
-  bool is_planned = false;  // of closing: the leader is well, what is under way may end
-  std::uint64_t number = 0; // of this service's changes; only rises
-  std::uint64_t mark = 0;   // of the table that brought the last of them
+  bool is_planned = false;   // of closing: the leader is well, what is under way may end
+  std::uint64_t number = 0;  // of this service's changes; only rises
+  std::uint64_t mark = 0;    // of the table that brought the last of them
 };
 
 // Invariant: `mark` rises with every agreed change; leads are ordered by service.
@@ -26,12 +31,17 @@
   std::vector<Lead> leads;
 
   const Lead* find(const std::string& service) const {
-    const auto place = std::lower_bound(leads.begin(), leads.end(), service, [](const Lead& lead, const std::string& name) { return lead.service < name; });
+    const auto place = std::lower_bound(
+        leads.begin(), leads.end(), service,
+        [](const Lead& lead, const std::string& name) { return lead.service < name; });
     return place != leads.end() && place->service == service ? &*place : nullptr;
   }
   Lead& put(const std::string& service) {
-    const auto place = std::lower_bound(leads.begin(), leads.end(), service, [](const Lead& lead, const std::string& name) { return lead.service < name; });
-    if (place != leads.end() && place->service == service) return *place;
+    const auto place = std::lower_bound(
+        leads.begin(), leads.end(), service,
+        [](const Lead& lead, const std::string& name) { return lead.service < name; });
+    if (place != leads.end() && place->service == service)
+      return *place;
     return *leads.insert(place, Lead{service, {}, {}, Lead::Phase::led, false, 0, 0});
   }
 };
@@ -43,7 +53,9 @@
   writer.number(table.mark).number(table.leads.size());
   for (const Lead& lead : table.leads) {
     writer.text(lead.service).text(lead.id).text(lead.target);
-    writer.number(static_cast<std::uint64_t>(lead.phase) | (lead.is_planned ? 16u : 0u)).number(lead.number).number(lead.mark);
+    writer.number(static_cast<std::uint64_t>(lead.phase) | (lead.is_planned ? 16u : 0u))
+        .number(lead.number)
+        .number(lead.mark);
   }
   return writer.take();
 }
@@ -57,7 +69,8 @@
     lead.id = reader.text();
     lead.target = reader.text();
     const std::uint64_t phase = reader.number();
-    if ((phase & 15) > 2) return false;
+    if ((phase & 15) > 2)
+      return false;
     lead.phase = static_cast<Lead::Phase>(phase & 15);
     lead.is_planned = phase & 16;
     lead.number = reader.number();
--- a/src/state/metrics.cpp
+++ b/src/state/metrics.cpp
@@ -5,33 +5,46 @@
 
 constexpr MetricRow rows[] = {
     {Metric::requests, "saddlewing_requests_total", "Requests that matched a rule.", true},
-    {Metric::answers_own_5xx, "saddlewing_own_5xx_total", "Answers of our own with a 5xx status.", true},
-    {Metric::refusals, "saddlewing_refusals_total", "Of these, answers that promise that nothing ran.", true},
-    {Metric::answers_partial, "saddlewing_partial_answers_total", "Gathered answers with parts left out.", true},
+    {Metric::answers_own_5xx, "saddlewing_own_5xx_total", "Answers of our own with a 5xx status.",
+     true},
+    {Metric::refusals, "saddlewing_refusals_total",
+     "Of these, answers that promise that nothing ran.", true},
+    {Metric::answers_partial, "saddlewing_partial_answers_total",
+     "Gathered answers with parts left out.", true},
     {Metric::askings, "saddlewing_askings_total", "Askings of backends.", true},
-    {Metric::further_askings, "saddlewing_further_askings_total", "Askings beyond the first of a part.", true},
-    {Metric::breakdowns, "saddlewing_breakdowns_total", "Askings that ended without a proper answer.", true},
+    {Metric::further_askings, "saddlewing_further_askings_total",
+     "Askings beyond the first of a part.", true},
+    {Metric::breakdowns, "saddlewing_breakdowns_total",
+     "Askings that ended without a proper answer.", true},
     {Metric::aids, "saddlewing_aids_total", "Gathers for other brokers.", true},
     {Metric::visits, "saddlewing_visits", "Open connections of clients.", false},
     {Metric::errands, "saddlewing_errands", "Requests under way.", false},
     {Metric::ready, "saddlewing_ready", "Whether the broker calls itself ready.", false},
     {Metric::lanes, "saddlewing_lanes", "Open connections to databases.", false},
-    {Metric::lanes_opened, "saddlewing_lanes_opened_total", "Connections opened to databases.", true},
-    {Metric::waiting, "saddlewing_waiting", "Sessions that wait for a leader or a connection.", false},
-    {Metric::statements, "saddlewing_statements_total", "Statements for a database, tries of our own not counted.", true},
-    {Metric::unknown_outcomes, "saddlewing_unknown_outcomes_total", "Statements answered UNKNOWN.", true},
-    {Metric::ring_over, "saddlewing_ring_nodes_over", "Nodes of the ring that carry too much.", false},
+    {Metric::lanes_opened, "saddlewing_lanes_opened_total", "Connections opened to databases.",
+     true},
+    {Metric::waiting, "saddlewing_waiting", "Sessions that wait for a leader or a connection.",
+     false},
+    {Metric::statements, "saddlewing_statements_total",
+     "Statements for a database, tries of our own not counted.", true},
+    {Metric::unknown_outcomes, "saddlewing_unknown_outcomes_total", "Statements answered UNKNOWN.",
+     true},
+    {Metric::ring_over, "saddlewing_ring_nodes_over", "Nodes of the ring that carry too much.",
+     false},
     {Metric::ring_moves, "saddlewing_ring_moves_open", "Moves of virtual nodes under way.", false},
     {Metric::edges_avoided, "saddlewing_edges_avoided", "Edges that some region avoids.", false},
-    {Metric::edge_frames_dropped, "saddlewing_edge_frames_dropped_total", "Counts or views of edges that were impossible, too many, or old.", true},
+    {Metric::edge_frames_dropped, "saddlewing_edge_frames_dropped_total",
+     "Counts or views of edges that were impossible, too many, or old.", true},
     {Metric::brokers, "saddlewing_brokers", "Brokers heard of late.", false},
     {Metric::backends_up, "saddlewing_backends_up", "Backends that are UP.", false},
     {Metric::evictions, "saddlewing_evictions_total", "Holds evicted by the sweep.", true},
     {Metric::saves_failed, "saddlewing_saves_failed_total", "Saves to disk that failed.", true},
     {Metric::leads, "saddlewing_leads", "Whether the registry leads.", false},
     {Metric::calls_taken, "saddlewing_operator_calls_total", "Operators' calls.", true},
-    {Metric::calls_failed, "saddlewing_operator_calls_failed_total", "Operators' calls answered 503.", true},
-    {Metric::edges_mark, "saddlewing_edges_view", "Changes of the view of edges in this leader's term, as in force here.", false},
+    {Metric::calls_failed, "saddlewing_operator_calls_failed_total",
+     "Operators' calls answered 503.", true},
+    {Metric::edges_mark, "saddlewing_edges_view",
+     "Changes of the view of edges in this leader's term, as in force here.", false},
     {Metric::version, "saddlewing_edition", "Edition in force here.", false},
 };
 
@@ -39,13 +52,15 @@
 
 const MetricRow& row_of(Metric metric) {
   for (const MetricRow& row : rows)
-    if (row.metric == metric) return row;
+    if (row.metric == metric)
+      return row;
   return rows[0];
 }
 
 bool find_metric(std::string_view name, Metric& metric) {
   for (const MetricRow& row : rows)
-    if (row.name == name) return metric = row.metric, true;
+    if (row.name == name)
+      return metric = row.metric, true;
   return false;
 }
 
@@ -53,7 +68,8 @@
   std::string page;
   for (const MetricRow& row : rows) {
     const std::string name(row.name);
-    page += "# HELP " + name + " " + std::string(row.help) + "\n# TYPE " + name + (row.is_counter ? " counter\n" : " gauge\n");
+    page += "# HELP " + name + " " + std::string(row.help) + "\n# TYPE " + name +
+            (row.is_counter ? " counter\n" : " gauge\n");
     page += name + " " + std::to_string(get(row.metric)) + "\n";
   }
   return page;
--- a/src/state/metrics.h
+++ b/src/state/metrics.h
@@ -9,13 +9,38 @@
 
 enum class Metric {
   // broker
-  requests, answers_own_5xx, refusals, answers_partial, askings, further_askings, breakdowns, aids, visits, errands, ready,
+  requests,
+  answers_own_5xx,
+  refusals,
+  answers_partial,
+  askings,
+  further_askings,
+  breakdowns,
+  aids,
+  visits,
+  errands,
+  ready,
   // pooler
-  lanes, lanes_opened, waiting, statements, unknown_outcomes,
+  lanes,
+  lanes_opened,
+  waiting,
+  statements,
+  unknown_outcomes,
   // registry
-  ring_over, ring_moves, edges_avoided, edge_frames_dropped, brokers, backends_up, evictions, saves_failed, leads, calls_taken, calls_failed,
+  ring_over,
+  ring_moves,
+  edges_avoided,
+  edge_frames_dropped,
+  brokers,
+  backends_up,
+  evictions,
+  saves_failed,
+  leads,
+  calls_taken,
+  calls_failed,
   // both
-  version, edges_mark,
+  version,
+  edges_mark,
   count
 };
 
@@ -30,13 +55,21 @@
 
 class Metrics {
  public:
-  void add(Metric metric, std::int64_t count = 1) { at(metric).fetch_add(count, std::memory_order_relaxed); }
-  void set(Metric metric, std::int64_t value) { at(metric).store(value, std::memory_order_relaxed); }
-  std::int64_t get(Metric metric) const { return values_[static_cast<int>(metric)].load(std::memory_order_relaxed); }
+  void add(Metric metric, std::int64_t count = 1) {
+    at(metric).fetch_add(count, std::memory_order_relaxed);
+  }
+  void set(Metric metric, std::int64_t value) {
+    at(metric).store(value, std::memory_order_relaxed);
+  }
+  std::int64_t get(Metric metric) const {
+    return values_[static_cast<int>(metric)].load(std::memory_order_relaxed);
+  }
   std::string page() const;
 
  private:
-  std::atomic<std::int64_t>& at(Metric metric) { return values_[static_cast<int>(metric)]; }
+  std::atomic<std::int64_t>& at(Metric metric) {
+    return values_[static_cast<int>(metric)];
+  }
   std::atomic<std::int64_t> values_[static_cast<int>(Metric::count)] = {};
 };
 
--- a/src/state/packing.h
+++ b/src/state/packing.h
@@ -26,7 +26,8 @@
     char bytes[16384];
     while (stream.read(bytes, sizeof bytes) || stream.gcount() > 0) {
       text.append(bytes, static_cast<std::size_t>(stream.gcount()));
-      if (text.size() > most) return false;
+      if (text.size() > most)
+        return false;
     }
     return stream.eof() && !stream.bad();
   } catch (const std::exception&) {
--- a/src/state/ring.cpp
+++ b/src/state/ring.cpp
@@ -13,18 +13,25 @@
 namespace {
 
 constexpr std::size_t most_nodes = 1000, most_virtual = 65536, most_sized = 4096;
-constexpr std::uint64_t sheet_form = 2;  // of a sheet that knows accounts; those before it end with the moves
+constexpr std::uint64_t sheet_form =
+    2;  // of a sheet that knows accounts; those before it end with the moves
 
-std::uint64_t digest(std::string_view text, std::uint64_t seed = 0) { return XXH64(text.data(), text.size(), seed); }
+std::uint64_t digest(std::string_view text, std::uint64_t seed = 0) {
+  return XXH64(text.data(), text.size(), seed);
+}
 
-// Which node the file itself gives a virtual node to: weighted rendezvous, so that a node more or less moves least.
+// Which node the file itself gives a virtual node to: weighted rendezvous, so that a node more or
+// less moves least.
 std::uint32_t choose_owner(const std::vector<RingNode>& nodes, VirtualNode virtual_node) {
   std::uint32_t best = 0;
   double best_score = -1;
   for (std::uint32_t index = 0; index < nodes.size(); ++index) {
-    const double drawn = (static_cast<double>(digest(nodes[index].name, virtual_node + 1) >> 11) + 0.5) / 9007199254740992.0;
+    const double drawn =
+        (static_cast<double>(digest(nodes[index].name, virtual_node + 1) >> 11) + 0.5) /
+        9007199254740992.0;
     const double score = nodes[index].weight / -std::log(drawn);
-    if (score > best_score) best = index, best_score = score;
+    if (score > best_score)
+      best = index, best_score = score;
   }
   return best;
 }
@@ -35,81 +42,113 @@
   std::string place;
   std::string& first;
   void fail(const std::string& what) const {
-    if (first.empty()) first = place + what;
+    if (first.empty())
+      first = place + what;
   }
   std::string text(const char* name) const {
-    if (node[name] && node[name].IsScalar() && !node[name].Scalar().empty()) return node[name].Scalar();
+    if (node[name] && node[name].IsScalar() && !node[name].Scalar().empty())
+      return node[name].Scalar();
     fail(std::string(name) + " is missing or not a text");
     return {};
   }
-  double number(const char* name, double least, double most, double otherwise, bool is_required) const {
+  double number(const char* name, double least, double most, double otherwise,
+                bool is_required) const {
     if (!node[name]) {
-      if (is_required) fail(std::string(name) + " is missing");
+      if (is_required)
+        fail(std::string(name) + " is missing");
       return otherwise;
     }
     double value = 0;
-    if (!node[name].IsScalar() || !YAML::convert<double>::decode(node[name], value) || !std::isfinite(value)) return fail(std::string(name) + " is not a number"), otherwise;
-    if (value < least || value > most) return fail(std::string(name) + " is out of range"), otherwise;
+    if (!node[name].IsScalar() || !YAML::convert<double>::decode(node[name], value) ||
+        !std::isfinite(value))
+      return fail(std::string(name) + " is not a number"), otherwise;
+    if (value < least || value > most)
+      return fail(std::string(name) + " is out of range"), otherwise;
     return value;
   }
 };
 
 Fault read_root(const YAML::Node& root, RingMap& read) {
   std::string first;
-  if (!root.IsMap()) return fault(Kind::invalid, "the ring file is not a map");
+  if (!root.IsMap())
+    return fault(Kind::invalid, "the ring file is not a map");
   const YamlFields top{root, "", first};
   read.version.value = static_cast<std::int64_t>(top.number("edition", 1, 9e15, 0, true));
   read.rule = top.text("rule");
   read.key_part = static_cast<std::size_t>(top.number("key_part", 0, 32, 0, false));
-  const auto count = static_cast<std::size_t>(top.number("virtual_nodes", 1, static_cast<double>(most_virtual), 128, false));
+  const auto count = static_cast<std::size_t>(
+      top.number("virtual_nodes", 1, static_cast<double>(most_virtual), 128, false));
   read.memory_mb = top.number("virtual_node_memory_mb", 0, 1e9, read.memory_mb, false);
   read.disk_mb = top.number("virtual_node_disk_mb", 0, 1e12, read.disk_mb, false);
   read.account_memory_mb = top.number("account_memory_mb", 0, 1e9, read.account_memory_mb, false);
   read.account_disk_mb = top.number("account_disk_mb", 0, 1e12, read.account_disk_mb, false);
-  if (!root["nodes"] || !root["nodes"].IsSequence() || root["nodes"].size() == 0) top.fail("nodes is not a list");
-  if (!first.empty()) return fault(Kind::invalid, first);
-  if (root["nodes"].size() > most_nodes) return fault(Kind::invalid, "nodes are too many");
+  if (!root["nodes"] || !root["nodes"].IsSequence() || root["nodes"].size() == 0)
+    top.fail("nodes is not a list");
+  if (!first.empty())
+    return fault(Kind::invalid, first);
+  if (root["nodes"].size() > most_nodes)
+    return fault(Kind::invalid, "nodes are too many");
   std::set<std::string> names;
   for (const YAML::Node& value : root["nodes"]) {
-    if (!value.IsMap()) return fault(Kind::invalid, "nodes[" + std::to_string(read.nodes.size()) + "] is not a map");
-    const std::string name = value["name"] && value["name"].IsScalar() ? value["name"].Scalar() : "";
-    const YamlFields fields{value, "nodes[" + std::to_string(read.nodes.size()) + "] " + name + ": ", first};
+    if (!value.IsMap())
+      return fault(Kind::invalid, "nodes[" + std::to_string(read.nodes.size()) + "] is not a map");
+    const std::string name =
+        value["name"] && value["name"].IsScalar() ? value["name"].Scalar() : "";
+    const YamlFields fields{
+        value, "nodes[" + std::to_string(read.nodes.size()) + "] " + name + ": ", first};
     RingNode node;
     node.name = fields.text("name");
-    node.zone = fields.text(value["locality"] && !value["zone"] ? "locality" : "zone");  // as files of before name it
-    if (value["region"]) node.region = fields.text("region");
+    node.zone = fields.text(
+        value["locality"] && !value["zone"] ? "locality" : "zone");  // as files of before name it
+    if (value["region"])
+      node.region = fields.text("region");
     node.weight = fields.number("weight", 0.001, 1000, 1, false);
     node.memory_mb = fields.number("memory_mb", 1, 1e9, 0, true);
     node.disk_mb = fields.number("disk_mb", 1, 1e12, 0, true);
     node.disk_mb_s = fields.number("disk_mb_per_s", 0.001, 1e6, 100, false);
     node.link_mb_s = fields.number("link_mb_per_s", 0.001, 1e6, 100, false);
-    if (!names.insert(node.name).second) fields.fail("name appears twice");
+    if (!names.insert(node.name).second)
+      fields.fail("name appears twice");
     read.nodes.push_back(std::move(node));
   }
   if (root["sizes"]) {
-    if (!root["sizes"].IsMap()) top.fail("sizes is not a map");
+    if (!root["sizes"].IsMap())
+      top.fail("sizes is not a map");
     else
       for (const auto& item : root["sizes"]) {
-        const std::string place = "sizes " + (item.first.IsScalar() ? item.first.Scalar() : std::string("?")) + ": ";
+        const std::string place =
+            "sizes " + (item.first.IsScalar() ? item.first.Scalar() : std::string("?")) + ": ";
         std::uint32_t virtual_node = 0;
         const YamlFields fields{item.second, place, first};
-        if (!YAML::convert<std::uint32_t>::decode(item.first, virtual_node) || virtual_node >= count) fields.fail("there is no such virtual node");
-        else if (!item.second.IsMap()) fields.fail("is not a map");
-        else read.sizes[virtual_node] = {fields.number("memory_mb", 0, 1e9, read.memory_mb, false), fields.number("disk_mb", 0, 1e12, read.disk_mb, false)};
+        if (!YAML::convert<std::uint32_t>::decode(item.first, virtual_node) ||
+            virtual_node >= count)
+          fields.fail("there is no such virtual node");
+        else if (!item.second.IsMap())
+          fields.fail("is not a map");
+        else
+          read.sizes[virtual_node] = {fields.number("memory_mb", 0, 1e9, read.memory_mb, false),
+                                      fields.number("disk_mb", 0, 1e12, read.disk_mb, false)};
       }
   }
   if (root["accounts"]) {
-    if (!root["accounts"].IsMap() || root["accounts"].size() > most_sized) top.fail("accounts is not a map, or too long");
+    if (!root["accounts"].IsMap() || root["accounts"].size() > most_sized)
+      top.fail("accounts is not a map, or too long");
     else
       for (const auto& item : root["accounts"]) {
         const std::string name = item.first.IsScalar() ? item.first.Scalar() : std::string();
         const YamlFields fields{item.second, "accounts " + name + ": ", first};
-        if (!is_account_form(name)) fields.fail("is no account");
-        else if (!item.second.IsMap()) fields.fail("is not a map");
-        else read.account_sizes[name] = {fields.number("memory_mb", 0, 1e9, read.account_memory_mb, false), fields.number("disk_mb", 0, 1e12, read.account_disk_mb, false)};
+        if (!is_account_form(name))
+          fields.fail("is no account");
+        else if (!item.second.IsMap())
+          fields.fail("is not a map");
+        else
+          read.account_sizes[name] = {
+              fields.number("memory_mb", 0, 1e9, read.account_memory_mb, false),
+              fields.number("disk_mb", 0, 1e12, read.account_disk_mb, false)};
       }
   }
-  if (!first.empty()) return fault(Kind::invalid, first);
+  if (!first.empty())
+    return fault(Kind::invalid, first);
   for (VirtualNode virtual_node = 0; virtual_node < count; ++virtual_node) {
     read.owners.push_back(choose_owner(read.nodes, virtual_node));
     read.points.push_back({digest("virtual node " + std::to_string(virtual_node)), virtual_node});
@@ -121,25 +160,30 @@
 }  // namespace
 
 VirtualNode RingMap::find(std::string_view key) const {
-  const auto place = std::lower_bound(points.begin(), points.end(), std::pair(digest(key), VirtualNode{0}));
+  const auto place =
+      std::lower_bound(points.begin(), points.end(), std::pair(digest(key), VirtualNode{0}));
   return place == points.end() ? points.front().second : place->second;
 }
 
 bool is_account_form(std::string_view text) {
-  if (text.empty() || text.size() > 128) return false;
+  if (text.empty() || text.size() > 128)
+    return false;
   return std::all_of(text.begin(), text.end(), [](char letter) {
-    return (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') || (letter >= '0' && letter <= '9') ||
+    return (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
+           (letter >= '0' && letter <= '9') ||
            std::string_view("-._~%!$&'()*+,;=:@").find(letter) != std::string_view::npos;
   });
 }
 
 std::uint32_t RingMap::owner_of(std::string_view key) const {
-  if (const auto found = placed.find(key); found != placed.end()) return found->second;
+  if (const auto found = placed.find(key); found != placed.end())
+    return found->second;
   return owners[find(key)];
 }
 
 std::size_t RingMap::index_of(const std::string& node) const {
-  const auto found = std::find_if(nodes.begin(), nodes.end(), [&](const RingNode& one) { return one.name == node; });
+  const auto found = std::find_if(nodes.begin(), nodes.end(),
+                                  [&](const RingNode& one) { return one.name == node; });
   return static_cast<std::size_t>(found - nodes.begin());
 }
 
@@ -149,28 +193,37 @@
 }
 
 std::pair<double, double> RingMap::size_of(const RingUnit& unit) const {
-  if (!unit.is_account()) return size_of(unit.virtual_node);
+  if (!unit.is_account())
+    return size_of(unit.virtual_node);
   const auto found = account_sizes.find(unit.account);
-  return found == account_sizes.end() ? std::pair(account_memory_mb, account_disk_mb) : found->second;
+  return found == account_sizes.end() ? std::pair(account_memory_mb, account_disk_mb)
+                                      : found->second;
 }
 
 std::pair<double, double> RingMap::used_of(std::size_t node) const {
   std::pair<double, double> used;
-  const auto add = [&](const std::pair<double, double>& size) { used.first += size.first, used.second += size.second; };
+  const auto add = [&](const std::pair<double, double>& size) {
+    used.first += size.first, used.second += size.second;
+  };
   for (VirtualNode virtual_node = 0; virtual_node < owners.size(); ++virtual_node)
-    if (owners[virtual_node] == node) add(size_of(virtual_node));
+    if (owners[virtual_node] == node)
+      add(size_of(virtual_node));
   for (const auto& [account, owner] : placed)
-    if (owner == node) add(size_of(RingUnit{0, account}));
+    if (owner == node)
+      add(size_of(RingUnit{0, account}));
   return used;
 }
 
-bool RingMap::key_of(std::string_view path, std::string_view path_start, std::string_view& key) const {
+bool RingMap::key_of(std::string_view path, std::string_view path_start,
+                     std::string_view& key) const {
   path = path.substr(0, path.find('?'));
-  if (!path.starts_with(path_start)) return false;
+  if (!path.starts_with(path_start))
+    return false;
   path.remove_prefix(path_start.size());
   for (std::size_t part = 0; part < key_part; ++part) {
     const auto slash = path.find('/');
-    if (slash == std::string_view::npos) return false;
+    if (slash == std::string_view::npos)
+      return false;
     path.remove_prefix(slash + 1);
   }
   key = path.substr(0, path.find('/'));
@@ -180,7 +233,8 @@
 Fault read_ring(const std::string& text, RingMap& ring) {
   try {
     RingMap read;
-    if (Fault found = read_root(YAML::Load(text), read)) return found;
+    if (Fault found = read_root(YAML::Load(text), read))
+      return found;
     ring = std::move(read);
     return {};
   } catch (const std::exception& thrown) {  // the library throws on what is no YAML
@@ -191,9 +245,11 @@
 std::string encode_ring(const RingSheet& sheet) {
   Writer writer;
   writer.number(sheet.mark).text(sheet.file).number(sheet.moved.size());
-  for (const auto& [virtual_node, owner] : sheet.moved) writer.number(virtual_node).text(owner);
+  for (const auto& [virtual_node, owner] : sheet.moved)
+    writer.number(virtual_node).text(owner);
   writer.text(sheet.moves).number(sheet_form).number(sheet.placed.size());
-  for (const auto& [account, owner] : sheet.placed) writer.text(account).text(owner);
+  for (const auto& [account, owner] : sheet.placed)
+    writer.text(account).text(owner);
   return writer.take();
 }
 
@@ -207,8 +263,10 @@
     sheet.moved[virtual_node] = reader.text();
   }
   sheet.moves = reader.text();
-  if (reader.is_whole()) return true;  // written before accounts moved
-  if (reader.number() != sheet_form) return false;
+  if (reader.is_whole())
+    return true;  // written before accounts moved
+  if (reader.number() != sheet_form)
+    return false;
   for (std::uint64_t left = reader.count(16); left > 0; --left) {
     std::string account = reader.text();
     sheet.placed[std::move(account)] = reader.text();
@@ -217,12 +275,15 @@
 }
 
 Fault ring_of(const RingSheet& sheet, RingMap& ring) {
-  if (Fault found = read_ring(sheet.file, ring)) return found;
+  if (Fault found = read_ring(sheet.file, ring))
+    return found;
   for (const auto& [virtual_node, owner] : sheet.moved)
-    if (const std::size_t index = ring.index_of(owner); index < ring.nodes.size() && virtual_node < ring.owners.size())
+    if (const std::size_t index = ring.index_of(owner);
+        index < ring.nodes.size() && virtual_node < ring.owners.size())
       ring.owners[virtual_node] = static_cast<std::uint32_t>(index);
   for (const auto& [account, owner] : sheet.placed)
-    if (const std::size_t index = ring.index_of(owner); index < ring.nodes.size()) ring.placed[account] = static_cast<std::uint32_t>(index);
+    if (const std::size_t index = ring.index_of(owner); index < ring.nodes.size())
+      ring.placed[account] = static_cast<std::uint32_t>(index);
   return {};
 }
 
--- a/src/state/startup.cpp
+++ b/src/state/startup.cpp
@@ -13,13 +13,15 @@
 // Collects the first fault found while fields are read.
 class Reader {
  public:
-  explicit Reader(const Json::Value& root) : root_(root) {}
+  explicit Reader(const Json::Value& root) : root_(root) {
+  }
 
   const Json::Value* find(const std::string& path) const {
     const Json::Value* value = &root_;
     std::istringstream parts(path);
     for (std::string part; std::getline(parts, part, '.');) {
-      if (!value->isObject() || !value->isMember(part)) return nullptr;
+      if (!value->isObject() || !value->isMember(part))
+        return nullptr;
       value = &(*value)[part];
     }
     return value;
@@ -27,18 +29,22 @@
   void text(const std::string& path, std::string& field, bool is_required) {
     const Json::Value* value = find(path);
     if (!value || value->isNull()) {
-      if (is_required) fail(path + " is missing");
+      if (is_required)
+        fail(path + " is missing");
     } else if (!value->isString()) {
       fail(path + " is not a text");
     } else {
       field = value->asString();
-      if (is_required && field.empty()) fail(path + " is empty");
+      if (is_required && field.empty())
+        fail(path + " is empty");
     }
   }
-  void number(const std::string& path, double& field, double least, double most, bool is_required = false) {
+  void number(const std::string& path, double& field, double least, double most,
+              bool is_required = false) {
     const Json::Value* value = find(path);
     if (!value || value->isNull()) {
-      if (is_required) fail(path + " is missing");
+      if (is_required)
+        fail(path + " is missing");
     } else if (!value->isNumeric() || value->isBool() || !std::isfinite(value->asDouble())) {
       fail(path + " is not a number");
     } else if (value->asDouble() < least || value->asDouble() > most) {
@@ -54,19 +60,25 @@
   }
   void truth(const std::string& path, bool& field) {
     const Json::Value* value = find(path);
-    if (!value || value->isNull()) return;
-    if (!value->isBool()) return fail(path + " is not true or false");
+    if (!value || value->isNull())
+      return;
+    if (!value->isBool())
+      return fail(path + " is not true or false");
     field = value->asBool();
   }
   void address(const std::string& path, Address& field, bool is_required) {
     std::string written;
     text(path, written, is_required);
-    if (!written.empty() && !parse_address(written, field)) fail(path + " is not an address");
+    if (!written.empty() && !parse_address(written, field))
+      fail(path + " is not an address");
   }
   void fail(const std::string& what) {
-    if (first_.empty()) first_ = what;
+    if (first_.empty())
+      first_ = what;
+  }
+  const std::string& first() const {
+    return first_;
   }
-  const std::string& first() const { return first_; }
 
  private:
   const Json::Value& root_;
@@ -77,25 +89,31 @@
 
 bool parse_address(const std::string& text, Address& address) {
   const auto colon = text.rfind(':');
-  if (colon == std::string::npos || colon == 0 || colon + 1 == text.size() || text.size() - colon > 6) return false;
+  if (colon == std::string::npos || colon == 0 || colon + 1 == text.size() ||
+      text.size() - colon > 6)
+    return false;
   int port = 0;
   for (char digit : text.substr(colon + 1)) {
-    if (digit < '0' || digit > '9') return false;
+    if (digit < '0' || digit > '9')
+      return false;
     port = port * 10 + (digit - '0');
   }
   int dots = 0, value = -1;
   for (char letter : text.substr(0, colon)) {
     if (letter == '.') {
-      if (value < 0 || ++dots > 3) return false;
+      if (value < 0 || ++dots > 3)
+        return false;
       value = -1;
     } else if (letter >= '0' && letter <= '9') {
       value = (value < 0 ? 0 : value) * 10 + (letter - '0');
-      if (value > 255) return false;
+      if (value > 255)
+        return false;
     } else {
       return false;
     }
   }
-  if (dots != 3 || value < 0 || port < 1 || port > 65535) return false;
+  if (dots != 3 || value < 0 || port < 1 || port > 65535)
+    return false;
   address = {text.substr(0, colon), port};
   return true;
 }
@@ -119,8 +137,10 @@
 Fault check_startup(const std::string& text, bool is_registry, Startup& startup) {
   Json::Value root;
   std::string reason;
-  if (!read_json(text, root, reason)) return fault(Kind::unreadable, "startup is not JSON");
-  if (!root.isObject()) return fault(Kind::invalid, "startup is not an object");
+  if (!read_json(text, root, reason))
+    return fault(Kind::unreadable, "startup is not JSON");
+  if (!root.isObject())
+    return fault(Kind::invalid, "startup is not an object");
   Startup read;
   Reader reader(root);
   reader.text("node_name", read.node_name, true);
@@ -134,7 +154,8 @@
   reader.address("listens_on.control", read.control, is_registry);
   reader.address("provider_api.address", read.platform, is_registry);
   reader.number("provider_api.rate_per_s", read.platform_rate, 0.01, 1e6);
-  if (const Json::Value* contacts = reader.find("first_contacts"); !contacts || !contacts->isArray() || contacts->empty()) {
+  if (const Json::Value* contacts = reader.find("first_contacts");
+      !contacts || !contacts->isArray() || contacts->empty()) {
     reader.fail("first_contacts is missing or not a list");
   } else {
     for (const Json::Value& contact : *contacts) {
@@ -147,13 +168,16 @@
   }
   if (const Json::Value* zones = reader.find("zones"); zones && zones->isObject())
     for (const auto& name : zones->getMemberNames())
-      if ((*zones)[name].isString()) read.localities[name] = (*zones)[name].asString();
+      if ((*zones)[name].isString())
+        read.localities[name] = (*zones)[name].asString();
   const Json::Value* ports = reader.find("spare_ports");
-  if (!ports || !ports->isArray() || ports->size() != 2 || !(*ports)[0].isInt() || !(*ports)[1].isInt()) {
+  if (!ports || !ports->isArray() || ports->size() != 2 || !(*ports)[0].isInt() ||
+      !(*ports)[1].isInt()) {
     reader.fail("spare_ports is not a pair of ports");
   } else {
     const int first = (*ports)[0].asInt(), last = (*ports)[1].asInt();
-    if (first < 1 || last > 65535 || first > last) reader.fail("spare_ports is out of range");
+    if (first < 1 || last > 65535 || first > last)
+      reader.fail("spare_ports is out of range");
     read.inner_port = first;
     read.own_port = is_registry ? first : first + (last > first);
   }
@@ -196,7 +220,8 @@
   reader.span("options.rollout_wait_ms", read.rollout_wait);
   reader.span("options.lead_hold_ms", read.lead_hold);
   reader.number("options.heavy_times", read.heavy_times, 0, 1000);
-  if (read.heavy_times > 0 && read.heavy_times < 1.5) reader.fail("options.heavy_times is between 0 and 1.5");
+  if (read.heavy_times > 0 && read.heavy_times < 1.5)
+    reader.fail("options.heavy_times is between 0 and 1.5");
   reader.truth("options.edges", read.has_edges);
   reader.span("options.edges_half_life_ms", read.edges_half_life);
   reader.span("options.edges_least_stay_ms", read.edges_least_stay);
@@ -204,26 +229,36 @@
   reader.number("options.edges_avoid_times", read.edges_avoid_times, 1.2, 1000);
   reader.number("options.edges_return_times", read.edges_return_times, 1, 1000);
   reader.number("options.edges_least_samples", read.edges_least_samples, 5, 1e6);
-  if (read.edges_return_times >= read.edges_avoid_times) reader.fail("options.edges_return_times is not under options.edges_avoid_times");
-  if (read.edges_fade < read.follow * 4) reader.fail("options.edges_fade_ms is under four times options.follow_ms");
+  if (read.edges_return_times >= read.edges_avoid_times)
+    reader.fail("options.edges_return_times is not under options.edges_avoid_times");
+  if (read.edges_fade < read.follow * 4)
+    reader.fail("options.edges_fade_ms is under four times options.follow_ms");
   reader.span("options.unconfirmed_wait_ms", read.unconfirmed_wait);
-  if (read.election < read.beat * 3) reader.fail("options.election_ms is under three times options.beat_ms");
-  if (read.rollout_wait * 3 > read.take_effect) reader.fail("options.rollout_wait_ms is over a third of time_bounds.take_effect_ms");
-  if (read.listing * 3 + read.follow > read.empty_out) reader.fail("options.listing_ms is too long for time_bounds.empty_out_ms");
-  if (read.lead_hold < read.follow * 3) reader.fail("options.lead_hold_ms is under three times options.follow_ms");
-  if (read.hold < read.renewal * 2) reader.fail("options.hold_ms is under twice options.renewal_ms");
-  if (!reader.first().empty()) return fault(Kind::invalid, reader.first());
+  if (read.election < read.beat * 3)
+    reader.fail("options.election_ms is under three times options.beat_ms");
+  if (read.rollout_wait * 3 > read.take_effect)
+    reader.fail("options.rollout_wait_ms is over a third of time_bounds.take_effect_ms");
+  if (read.listing * 3 + read.follow > read.empty_out)
+    reader.fail("options.listing_ms is too long for time_bounds.empty_out_ms");
+  if (read.lead_hold < read.follow * 3)
+    reader.fail("options.lead_hold_ms is under three times options.follow_ms");
+  if (read.hold < read.renewal * 2)
+    reader.fail("options.hold_ms is under twice options.renewal_ms");
+  if (!reader.first().empty())
+    return fault(Kind::invalid, reader.first());
   startup = std::move(read);
   return {};
 }
 
 Fault read_startup(const std::string& path, bool is_registry, Startup& startup) {
   std::ifstream file(path);
-  if (!file) return fault(Kind::unreadable, "startup file", path);
+  if (!file)
+    return fault(Kind::unreadable, "startup file", path);
   std::ostringstream text;
   text << file.rdbuf();
   Fault found = check_startup(text.str(), is_registry, startup);
-  if (found) found.peer = path;
+  if (found)
+    found.peer = path;
   return found;
 }
 
--- a/src/state/store.cpp
+++ b/src/state/store.cpp
@@ -18,20 +18,26 @@
 constexpr std::uint64_t seal_mark = 0x314c414553575753;  // "SWWSEAL1"
 constexpr std::size_t seal_size = 6 * 8;
 
-// Closes a slot. Invariant of every later format: mark and checksum stay where they are, so that it can be named.
+// Closes a slot. Invariant of every later format: mark and checksum stay where they are, so that it
+// can be named.
 struct Seal {
   std::uint64_t format = 0, serial = 0, image_size = 0, image_digest = 0;
 };
 
 std::string write_seal(const Seal& seal) {
   Writer writer;
-  writer.number(seal.format).number(seal.serial).number(seal.image_size).number(seal.image_digest).number(seal_mark);
+  writer.number(seal.format)
+      .number(seal.serial)
+      .number(seal.image_size)
+      .number(seal.image_digest)
+      .number(seal_mark);
   writer.number(XXH3_64bits(writer.bytes().data(), writer.bytes().size()));
   return writer.take();
 }
 
 bool has_mark(const std::string& bytes) {
-  return bytes.size() == seal_size && ByteReader(std::string_view(bytes).substr(seal_size - 16)).number() == seal_mark;
+  return bytes.size() == seal_size &&
+         ByteReader(std::string_view(bytes).substr(seal_size - 16)).number() == seal_mark;
 }
 
 bool read_seal(const std::string& bytes, Seal& seal) {
@@ -44,10 +50,13 @@
   return reader.number() == XXH3_64bits(bytes.data(), seal_size - 8) && reader.is_whole();
 }
 
-Fault disk_fault(const char* step, int code) { return code ? fault(Kind::disk, step, mdb_strerror(code)) : Fault{}; }
+Fault disk_fault(const char* step, int code) {
+  return code ? fault(Kind::disk, step, mdb_strerror(code)) : Fault{};
+}
 
 std::uint64_t checksum(std::uint64_t format, std::string_view bytes) {
-  if (format != first_format) return XXH3_64bits(bytes.data(), bytes.size());
+  if (format != first_format)
+    return XXH3_64bits(bytes.data(), bytes.size());
   boost::crc_32_type crc;
   crc.process_bytes(bytes.data(), bytes.size());
   return crc.checksum();
@@ -55,33 +64,41 @@
 
 // Later saves of one member never go back in this.
 auto age_of(const Durable& durable) {
-  return std::tuple(durable.term, durable.entry->term, durable.entry->index, durable.vote.value != 0);
+  return std::tuple(durable.term, durable.entry->term, durable.entry->index,
+                    durable.vote.value != 0);
 }
 
-// A file of before the slots has no seal, so LMDB does not open it: its one record is found by its key and
-// believed by its own checksum. LMDB puts a node's size, flags and size of key before the key; a record that does
-// not fit into a page stands at the start of another, behind that page's head.
+// A file of before the slots has no seal, so LMDB does not open it: its one record is found by its
+// key and believed by its own checksum. LMDB puts a node's size, flags and size of key before the
+// key; a record that does not fit into a page stands at the start of another, behind that page's
+// head.
 Decoded find_unsealed(const std::string& bytes, Durable& durable) {
   constexpr std::size_t head_size = 16, big = 1;
   const std::size_t page = static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
   const std::string_view all(bytes), key(record_key, sizeof record_key);
   Decoded best = Decoded::damaged;
-  for (std::size_t at = all.find(key, 8); at != std::string_view::npos; at = all.find(key, at + 1)) {
+  for (std::size_t at = all.find(key, 8); at != std::string_view::npos;
+       at = all.find(key, at + 1)) {
     std::uint16_t head[4];
     std::memcpy(head, bytes.data() + at - 8, sizeof head);
-    if (head[3] != key.size()) continue;
+    if (head[3] != key.size())
+      continue;
     const std::size_t size = head[0] | static_cast<std::size_t>(head[1]) << 16;
     std::size_t begin = at + key.size();
     if (head[2] & big) {
       std::uint64_t number = 0;
-      if (bytes.size() - begin < sizeof number) continue;
+      if (bytes.size() - begin < sizeof number)
+        continue;
       std::memcpy(&number, bytes.data() + begin, sizeof number);
       begin = number * page + head_size;
     }
-    if (begin > bytes.size()) continue;
+    if (begin > bytes.size())
+      continue;
     const Decoded decoded = decode_durable(all.substr(begin, size), durable);
-    if (decoded == Decoded::record) return decoded;
-    if (decoded == Decoded::unknown_format) best = decoded;
+    if (decoded == Decoded::record)
+      return decoded;
+    if (decoded == Decoded::unknown_format)
+      best = decoded;
   }
   return best;
 }
@@ -90,21 +107,28 @@
 
 std::string encode_durable(const Durable& durable) {
   Writer writer;
-  writer.number(record_format).number(durable.self.value).number(durable.term.value).number(durable.vote.value);
+  writer.number(record_format)
+      .number(durable.self.value)
+      .number(durable.term.value)
+      .number(durable.vote.value);
   write_entry(writer, *durable.entry);
   writer.number(checksum(record_format, writer.bytes()));
   return writer.take();
 }
 
 Decoded decode_durable(std::string_view bytes, Durable& durable) {
-  if (bytes.size() < 16) return Decoded::damaged;
+  if (bytes.size() < 16)
+    return Decoded::damaged;
   const std::string_view body = bytes.substr(0, bytes.size() - 8);
-  const std::uint64_t sum = ByteReader(bytes.substr(body.size())).number(), format = ByteReader(body).number();
+  const std::uint64_t sum = ByteReader(bytes.substr(body.size())).number(),
+                      format = ByteReader(body).number();
   if (format > record_format) {
-    const bool is_whole = sum == checksum(record_format, body) || sum == checksum(first_format, body);
+    const bool is_whole =
+        sum == checksum(record_format, body) || sum == checksum(first_format, body);
     return is_whole ? Decoded::unknown_format : Decoded::damaged;
   }
-  if (format < first_format || sum != checksum(format, body)) return Decoded::damaged;
+  if (format < first_format || sum != checksum(format, body))
+    return Decoded::damaged;
   ByteReader reader(body.substr(8));
   Durable read;
   read.self.value = reader.number();
@@ -113,7 +137,8 @@
   auto entry = std::make_shared<Entry>();
   read_entry(reader, *entry);
   read.entry = std::move(entry);
-  if (!reader.is_whole()) return Decoded::damaged;
+  if (!reader.is_whole())
+    return Decoded::damaged;
   durable = std::move(read);
   return Decoded::record;
 }
@@ -123,89 +148,117 @@
   const std::string path = path_of(slot);
   Disk::Contents contents;
   if (const int code = disk_->inspect(path, seal_size, contents))
-    return code == ENOENT ? Slot{} : Slot{State::unreadable, 0, fault(Kind::disk, "read of " + path, mdb_strerror(code))};
-  if (!has_mark(contents.tail)) return {State::begun, 0, fault(Kind::damaged, "no seal", path)};
+    return code == ENOENT ? Slot{}
+                          : Slot{State::unreadable, 0,
+                                 fault(Kind::disk, "read of " + path, mdb_strerror(code))};
+  if (!has_mark(contents.tail))
+    return {State::begun, 0, fault(Kind::damaged, "no seal", path)};
   Seal seal;
-  if (!read_seal(contents.tail, seal)) return {State::damaged, 0, fault(Kind::damaged, "seal", path)};
+  if (!read_seal(contents.tail, seal))
+    return {State::damaged, 0, fault(Kind::damaged, "seal", path)};
   if (seal.format > record_format)
-    return {State::unknown_format, seal.serial, fault(Kind::invalid, "format " + std::to_string(seal.format), path)};
+    return {State::unknown_format, seal.serial,
+            fault(Kind::invalid, "format " + std::to_string(seal.format), path)};
   if (seal.image_size != contents.size || seal.image_digest != contents.digest)
     return {State::damaged, 0, fault(Kind::damaged, "checksum", path)};
   return {State::whole, seal.serial, {}};
 }
 
 int Store::newest_of(const Slot (&slots)[2]) {
-  const auto is_whole = [&](int slot) { return slots[slot].state == Slot::State::whole; };
-  if (is_whole(0) && is_whole(1)) return slots[1].serial > slots[0].serial;
+  const auto is_whole = [&](int slot) {
+    return slots[slot].state == Slot::State::whole;
+  };
+  if (is_whole(0) && is_whole(1))
+    return slots[1].serial > slots[0].serial;
   return is_whole(0) ? 0 : is_whole(1) ? 1 : -1;
 }
 
 Store::Found Store::load(Durable& durable, Fault& why) const {
   using State = Slot::State;
   const Slot slots[] = {examine(0), examine(1)};
-  for (const auto& [state, found] : {std::pair(State::unknown_format, Found::unknown_format), {State::unreadable, Found::unreadable}})
+  for (const auto& [state, found] : {std::pair(State::unknown_format, Found::unknown_format),
+                                     {State::unreadable, Found::unreadable}})
     for (const Slot& slot : slots)
-      if (slot.state == state) return why = slot.why, found;
+      if (slot.state == state)
+        return why = slot.why, found;
   const int newest = newest_of(slots);
   if (newest >= 0) {
     std::string record;
-    if (const int code = disk_->read_image(path_of(newest), record)) return why = disk_fault("read of the store", code), Found::unreadable;
+    if (const int code = disk_->read_image(path_of(newest), record))
+      return why = disk_fault("read of the store", code), Found::unreadable;
     const Decoded decoded = decode_durable(record, durable);
-    if (decoded == Decoded::record) return Found::record;
-    why = fault(decoded == Decoded::damaged ? Kind::damaged : Kind::invalid, "record", path_of(newest));
+    if (decoded == Decoded::record)
+      return Found::record;
+    why = fault(decoded == Decoded::damaged ? Kind::damaged : Kind::invalid, "record",
+                path_of(newest));
     return decoded == Decoded::damaged ? Found::damaged : Found::unknown_format;
   }
-  // Slot 1 is begun only after slot 0 was synced, and that was newer than any file of before the slots.
-  if (slots[1].state != State::absent) return why = slots[1].why, Found::damaged;
+  // Slot 1 is begun only after slot 0 was synced, and that was newer than any file of before the
+  // slots.
+  if (slots[1].state != State::absent)
+    return why = slots[1].why, Found::damaged;
   const Found found = load_unsealed(durable, why);
   // A first save that never came to its seal acknowledged nothing.
-  if (found == Found::nothing && slots[0].state == State::damaged) return why = slots[0].why, Found::damaged;
+  if (found == Found::nothing && slots[0].state == State::damaged)
+    return why = slots[0].why, Found::damaged;
   return found;
 }
 
-// Of before the slots: fresh.mdb was written, synced and renamed over state.mdb. After a loss of power in between
-// either name may be there, and a removed fresh.mdb may be back.
+// Of before the slots: fresh.mdb was written, synced and renamed over state.mdb. After a loss of
+// power in between either name may be there, and a removed fresh.mdb may be back.
 Store::Found Store::load_unsealed(Durable& durable, Fault& why) const {
   Found found = Found::nothing;
   for (const char* name : {"/state.mdb", "/fresh.mdb"}) {
     const std::string path = folder_ + name;
     std::string bytes;
     const int code = disk_->read(path, bytes);
-    if (code == ENOENT) continue;
-    if (code) return why = fault(Kind::disk, "read of " + path, mdb_strerror(code)), Found::unreadable;
+    if (code == ENOENT)
+      continue;
+    if (code)
+      return why = fault(Kind::disk, "read of " + path, mdb_strerror(code)), Found::unreadable;
     Durable read;
     const Decoded decoded = find_unsealed(bytes, read);
-    if (decoded == Decoded::unknown_format) return why = fault(Kind::invalid, "format", path), Found::unknown_format;
+    if (decoded == Decoded::unknown_format)
+      return why = fault(Kind::invalid, "format", path), Found::unknown_format;
     if (decoded == Decoded::damaged) {
       // A torn fresh.mdb was never acknowledged; state.mdb was synced whole before it got its name.
-      if (found == Found::nothing) why = fault(Kind::damaged, "checksum", path), found = Found::damaged;
+      if (found == Found::nothing)
+        why = fault(Kind::damaged, "checksum", path), found = Found::damaged;
       continue;
     }
-    if (found == Found::damaged || (found == Found::record && age_of(read) <= age_of(durable))) continue;
+    if (found == Found::damaged || (found == Found::record && age_of(read) <= age_of(durable)))
+      continue;
     durable = std::move(read);
     found = Found::record;
   }
   return found;
 }
 
-// Once in a life. What a process before this one wrote may be whole and yet not synced: it is, before the other slot goes.
+// Once in a life. What a process before this one wrote may be whole and yet not synced: it is,
+// before the other slot goes.
 Fault Store::prepare() {
-  if (is_prepared_) return {};
+  if (is_prepared_)
+    return {};
   const Slot slots[] = {examine(0), examine(1)};
   for (const Slot& slot : slots)
-    if (slot.state == Slot::State::unknown_format || slot.state == Slot::State::unreadable) return slot.why;
+    if (slot.state == Slot::State::unknown_format || slot.state == Slot::State::unreadable)
+      return slot.why;
   const int newest = newest_of(slots);
   if (newest >= 0) {
-    if (const int code = disk_->sync(path_of(newest))) return disk_fault("sync of the slot before", code);
-    if (const int code = disk_->sync_folder(folder_)) return disk_fault("sync of the folder", code);
+    if (const int code = disk_->sync(path_of(newest)))
+      return disk_fault("sync of the slot before", code);
+    if (const int code = disk_->sync_folder(folder_))
+      return disk_fault("sync of the folder", code);
     serial_ = slots[newest].serial;
   } else {
     Durable held;
     Fault why;
     const Found found = load_unsealed(held, why);
-    if (found == Found::unknown_format || found == Found::unreadable) return why;
+    if (found == Found::unknown_format || found == Found::unreadable)
+      return why;
   }
-  is_folder_synced_ = newest >= 0 && slots[0].state != Slot::State::absent && slots[1].state != Slot::State::absent;
+  is_folder_synced_ =
+      newest >= 0 && slots[0].state != Slot::State::absent && slots[1].state != Slot::State::absent;
   newest_ = newest;
   has_unsealed_ = true;
   is_prepared_ = true;
@@ -214,28 +267,37 @@
 
 Fault Store::write(int slot, std::uint64_t serial, const std::string& record) {
   const std::string path = path_of(slot);
-  if (const int code = disk_->clear(path)) return disk_fault("open of the store", code);
-  if (const int code = disk_->write_image(path, record)) return disk_fault("write to the store", code);
+  if (const int code = disk_->clear(path))
+    return disk_fault("open of the store", code);
+  if (const int code = disk_->write_image(path, record))
+    return disk_fault("write to the store", code);
   Disk::Contents image;
-  if (const int code = disk_->inspect(path, 0, image)) return disk_fault("checksum of the store", code);
+  if (const int code = disk_->inspect(path, 0, image))
+    return disk_fault("checksum of the store", code);
   const std::string seal = write_seal({record_format, serial, image.size, image.digest});
-  if (const int code = disk_->write(path, image.size, seal)) return disk_fault("seal of the store", code);
-  if (const int code = disk_->sync(path)) return disk_fault("sync of the store", code);
-  if (is_folder_synced_) return {};
+  if (const int code = disk_->write(path, image.size, seal))
+    return disk_fault("seal of the store", code);
+  if (const int code = disk_->sync(path))
+    return disk_fault("sync of the store", code);
+  if (is_folder_synced_)
+    return {};
   return disk_fault("sync of the folder", disk_->sync_folder(folder_));
 }
 
 Fault Store::save(const Durable& durable) {
-  if (Fault found = prepare()) return found;
+  if (Fault found = prepare())
+    return found;
   const int slot = newest_ == 0 ? 1 : 0;
   if (Fault found = write(slot, ++serial_, encode_durable(durable))) {
-    disk_->clear(path_of(slot));  // after a sync that failed, what reads as whole may never reach the disk
+    disk_->clear(
+        path_of(slot));  // after a sync that failed, what reads as whole may never reach the disk
     return found;
   }
   is_folder_synced_ = newest_ >= 0;  // both slots have their names for good
   newest_ = slot;
   if (has_unsealed_)
-    for (const char* name : {"/state.mdb", "/fresh.mdb"}) disk_->remove(folder_ + name);
+    for (const char* name : {"/state.mdb", "/fresh.mdb"})
+      disk_->remove(folder_ + name);
   has_unsealed_ = false;
   return {};
 }
--- a/src/state/store.h
+++ b/src/state/store.h
@@ -27,10 +27,12 @@
   Version version;
   std::string body;
   std::vector<Member> members;
-  // Of a joint entry: the members before. A majority of each list counts until the entry after it, which has none.
+  // Of a joint entry: the members before. A majority of each list counts until the entry after it,
+  // which has none.
   std::vector<Member> former;
   std::uint32_t core_size = 0;  // how many voters the core wants
-  std::map<std::string, std::string> sheets;  // further agreed tables by name: leads of databases, the ring
+  std::map<std::string, std::string>
+      sheets;  // further agreed tables by name: leads of databases, the ring
 };
 using EntrySnapshot = std::shared_ptr<const Entry>;
 
@@ -43,20 +45,33 @@
 };
 
 // Format 2 is written, format 1 is still read. A format's number comes first, its checksum last.
-enum class Decoded { record, damaged, unknown_format };
+enum class Decoded {
+  record,
+  damaged,
+  unknown_format
+};
 std::string encode_durable(const Durable& durable);
 Decoded decode_durable(std::string_view bytes, Durable& durable);
 
-// Two slots, written in turn and never renamed; each is an LMDB image closed by a seal with a checksum over all
-// of it and a serial that rises. LMDB trusts its pages, so it opens no slot whose seal does not match.
-// Invariant: the slot with the newest synced record is never written; a slot that fails is written again.
+// Two slots, written in turn and never renamed; each is an LMDB image closed by a seal with a
+// checksum over all of it and a serial that rises. LMDB trusts its pages, so it opens no slot whose
+// seal does not match. Invariant: the slot with the newest synced record is never written; a slot
+// that fails is written again.
 class Store {
  public:
-  // `unreadable`: what is there is not known. It and `unknown_format` are neither served nor written over.
-  enum class Found { nothing, record, damaged, unknown_format, unreadable };
+  // `unreadable`: what is there is not known. It and `unknown_format` are neither served nor
+  // written over.
+  enum class Found {
+    nothing,
+    record,
+    damaged,
+    unknown_format,
+    unreadable
+  };
 
   explicit Store(std::string folder, std::shared_ptr<Disk> disk = std::make_shared<Disk>())
-      : folder_(std::move(folder)), disk_(std::move(disk)) {}
+      : folder_(std::move(folder)), disk_(std::move(disk)) {
+  }
   Found load(Durable& durable, Fault& fault) const;
   // No fault: `durable` outlasts any loss of power. A fault: the record before does, or this one.
   Fault save(const Durable& durable);
@@ -64,11 +79,20 @@
  private:
   // Begun: its save never came to the seal.
   struct Slot {
-    enum class State { absent, begun, damaged, whole, unknown_format, unreadable } state = State::absent;
+    enum class State {
+      absent,
+      begun,
+      damaged,
+      whole,
+      unknown_format,
+      unreadable
+    } state = State::absent;
     std::uint64_t serial = 0;
     Fault why;
   };
-  std::string path_of(int slot) const { return folder_ + (slot ? "/slot-1.mdb" : "/slot-0.mdb"); }
+  std::string path_of(int slot) const {
+    return folder_ + (slot ? "/slot-1.mdb" : "/slot-0.mdb");
+  }
   Slot examine(int slot) const;
   // -1: none is whole.
   static int newest_of(const Slot (&slots)[2]);
--- a/src/transport/caller.cpp
+++ b/src/transport/caller.cpp
@@ -4,7 +4,8 @@
 
 namespace saddlewing {
 
-Caller::Caller(Poller& poller, CallOwner& owner, const Address& address, std::size_t most_head, std::size_t most_body)
+Caller::Caller(Poller& poller, CallOwner& owner, const Address& address, std::size_t most_head,
+               std::size_t most_body)
     : poller_(poller), owner_(owner), reader_(false, most_head, most_body) {
   auto channel = Channel::connect(address);
   if (!channel) {
@@ -16,37 +17,43 @@
 }
 
 void Caller::end() {
-  if (state_ == State::ended) return;
+  if (state_ == State::ended)
+    return;
   state_ = State::ended;
   poller_.leave(channel_.socket());
   channel_ = Channel();
 }
 
 void Caller::abort() {
-  if (state_ != State::ended) channel_.reset_at_close();
+  if (state_ != State::ended)
+    channel_.reset_at_close();
   end();
 }
 
 bool Caller::is_quiet() {
-  if (state_ != State::idle) return state_ == State::connecting;
+  if (state_ != State::idle)
+    return state_ == State::connecting;
   char byte = 0;
   const Transfer got = channel_.receive(&byte, 1);
   return !got.is_closed && !got.count;
 }
 
 bool Caller::ask(const std::string& bytes, bool is_head, const std::string& try_id, Moment latest) {
-  if (state_ == State::ended) return false;
+  if (state_ == State::ended)
+    return false;
   try_id_ = try_id;
   latest_ = latest;
   is_head_ = is_head;
   ++asked_count_;
   reader_.reset();
-  if (is_head) reader_.expect_no_body();
+  if (is_head)
+    reader_.expect_no_body();
   out_ = bytes;
   sent_ = 0;
   has_sent_ = has_heard_ = false;
   is_asked_ = true;
-  if (state_ == State::connecting) return true;
+  if (state_ == State::connecting)
+    return true;
   state_ = State::asking;
   const Transfer gone = channel_.send(out_.data(), out_.size());
   if (gone.is_closed) {
@@ -55,31 +62,40 @@
   }
   sent_ = gone.count;
   has_sent_ = sent_ > 0;
-  if (sent_ < out_.size()) poller_.change(channel_.socket(), Poller::read | Poller::write);
+  if (sent_ < out_.size())
+    poller_.change(channel_.socket(), Poller::read | Poller::write);
   return true;
 }
 
 void Caller::on_ready(bool is_readable, bool is_writable) {
   const Moment now = Clock::now();
   if (state_ == State::connecting) {
-    if (!is_writable && !is_readable) return;
-    if (!channel_.is_connected_well()) return fail(Kind::refused_connection, now);
+    if (!is_writable && !is_readable)
+      return;
+    if (!channel_.is_connected_well())
+      return fail(Kind::refused_connection, now);
     was_connected_ = true;
     connected_at_ = now;
     state_ = is_asked_ ? State::asking : State::idle;
-    if (is_asked_ && !owner_.may_send(*this, now)) return fail(Kind::deadline_reached, now);
+    if (is_asked_ && !owner_.may_send(*this, now))
+      return fail(Kind::deadline_reached, now);
     return flush(now);
   }
-  if (is_writable && state_ != State::ended) flush(now);
-  if (is_readable && state_ != State::ended) read(now);
+  if (is_writable && state_ != State::ended)
+    flush(now);
+  if (is_readable && state_ != State::ended)
+    read(now);
 }
 
 void Caller::flush(Moment now) {
   while (sent_ < out_.size()) {
-    if (!has_sent_ && now > latest_) return fail(Kind::deadline_reached, now);
+    if (!has_sent_ && now > latest_)
+      return fail(Kind::deadline_reached, now);
     const Transfer gone = channel_.send(out_.data() + sent_, out_.size() - sent_);
-    if (gone.is_closed) return fail(Kind::broke_off, now);
-    if (!gone.count) return poller_.change(channel_.socket(), Poller::read | Poller::write);
+    if (gone.is_closed)
+      return fail(Kind::broke_off, now);
+    if (!gone.count)
+      return poller_.change(channel_.socket(), Poller::read | Poller::write);
     sent_ += gone.count;
     has_sent_ = true;
   }
@@ -89,12 +105,15 @@
 void Caller::fail(Kind kind, Moment now) {
   const bool is_idle = !is_asked_;
   end();
-  if (is_idle) owner_.on_idle_end(*this);
-  else owner_.on_breakdown(*this, kind, now);
+  if (is_idle)
+    owner_.on_idle_end(*this);
+  else
+    owner_.on_breakdown(*this, kind, now);
 }
 
 bool Caller::is_surplus() const {
-  if (try_id_.empty()) return false;
+  if (try_id_.empty())
+    return false;
   const auto& response = reader_.response();
   return response.has(field::try_id) && response.get(field::try_id) != try_id_;
 }
@@ -102,31 +121,42 @@
 bool Caller::is_of_two() const {
   const auto& response = reader_.response();
   auto found = response.find(field::try_id);
-  return found != response.end() && ++found != response.end() && is_same_name(found->first, field::try_id);
+  return found != response.end() && ++found != response.end() &&
+         is_same_name(found->first, field::try_id);
 }
 
 void Caller::read(Moment now) {
   static thread_local char bytes[65536];
   for (;;) {
     const Transfer got = channel_.receive(bytes, sizeof bytes);
-    if (got.is_closed) return fail(Kind::broke_off, now);
-    if (!got.count) return;
-    if (state_ == State::idle) return fail(Kind::garbled, now);
+    if (got.is_closed)
+      return fail(Kind::broke_off, now);
+    if (!got.count)
+      return;
+    if (state_ == State::idle)
+      return fail(Kind::garbled, now);
     has_heard_ = true;
     in_.append(bytes, got.count);
     MessageReader::Step step;
-    while ((step = reader_.advance(in_)) == MessageReader::Step::done && is_surplus() && !is_of_two()) {  // its own may follow, in any pieces
+    while ((step = reader_.advance(in_)) == MessageReader::Step::done && is_surplus() &&
+           !is_of_two()) {  // its own may follow, in any pieces
       is_doubtful_ = true;
       reader_.reset();
-      if (is_head_) reader_.expect_no_body();
+      if (is_head_)
+        reader_.expect_no_body();
     }
-    if (step == MessageReader::Step::failed || (step == MessageReader::Step::done && is_of_two())) return fail(Kind::garbled, now);
-    if (step == MessageReader::Step::done) break;
-    if (got.count < sizeof bytes) return;
+    if (step == MessageReader::Step::failed || (step == MessageReader::Step::done && is_of_two()))
+      return fail(Kind::garbled, now);
+    if (step == MessageReader::Step::done)
+      break;
+    if (got.count < sizeof bytes)
+      return;
   }
   is_asked_ = false;
-  if (!in_.empty() || !reader_.facts().is_persistent || is_doubtful_ || sent_ < out_.size()) end();
-  else state_ = State::idle;
+  if (!in_.empty() || !reader_.facts().is_persistent || is_doubtful_ || sent_ < out_.size())
+    end();
+  else
+    state_ = State::idle;
   owner_.on_outcome(*this, now);
 }
 
--- a/src/transport/caller.h
+++ b/src/transport/caller.h
@@ -17,7 +17,9 @@
   virtual ~CallOwner() = default;
   virtual void on_outcome(Caller& caller, Moment now) = 0;
   virtual void on_breakdown(Caller& caller, Kind kind, Moment now) = 0;
-  virtual bool may_send(Caller&, Moment) { return true; }  // asked once, when the connection stands; false breaks the call down
+  virtual bool may_send(Caller&, Moment) {
+    return true;
+  }  // asked once, when the connection stands; false breaks the call down
   virtual void on_idle_end(Caller& caller) = 0;  // an idle connection ended or spoke out of turn
 };
 
@@ -25,25 +27,55 @@
 // Invariant: bytes beyond the outcome end the connection, so an idle one is clean.
 class Caller final : public Watcher {
  public:
-  enum class State { connecting, asking, idle, ended };
-  Caller(Poller& poller, CallOwner& owner, const Address& address, std::size_t most_head, std::size_t most_body);
-  ~Caller() override { end(); }
+  enum class State {
+    connecting,
+    asking,
+    idle,
+    ended
+  };
+  Caller(Poller& poller, CallOwner& owner, const Address& address, std::size_t most_head,
+         std::size_t most_body);
+  ~Caller() override {
+    end();
+  }
 
-  // False: the connection is gone. Outcomes with another Try-Id than `try_id` are surplus and are skipped. After `latest`
-  // no first byte leaves any more, whatever the connection or the process was held up by.
-  bool ask(const std::string& bytes, bool is_head, const std::string& try_id = {}, Moment latest = Moment::max());
-  // Of an idle one: nothing has come that nobody has seen yet, neither its end nor bytes out of turn.
+  // False: the connection is gone. Outcomes with another Try-Id than `try_id` are surplus and are
+  // skipped. After `latest` no first byte leaves any more, whatever the connection or the process
+  // was held up by.
+  bool ask(const std::string& bytes, bool is_head, const std::string& try_id = {},
+           Moment latest = Moment::max());
+  // Of an idle one: nothing has come that nobody has seen yet, neither its end nor bytes out of
+  // turn.
   bool is_quiet();
-  State state() const { return state_; }
-  MessageReader& reader() { return reader_; }
-  bool has_sent() const { return has_sent_; }      // any byte of the request left
-  bool has_heard() const { return has_heard_; }    // any byte of the outcome came
-  bool was_connected() const { return was_connected_; }
-  // Whether what came can only be to this request: none came before on this connection, nothing surplus was passed over.
-  bool is_beyond_doubt() const { return asked_count_ <= 1 && !is_doubtful_; }
-  bool has_passed_over() const { return is_doubtful_; }
-  int own_port() const { return channel_.own_port(); }
-  Moment connected_at() const { return connected_at_; }
+  State state() const {
+    return state_;
+  }
+  MessageReader& reader() {
+    return reader_;
+  }
+  bool has_sent() const {
+    return has_sent_;
+  }  // any byte of the request left
+  bool has_heard() const {
+    return has_heard_;
+  }  // any byte of the outcome came
+  bool was_connected() const {
+    return was_connected_;
+  }
+  // Whether what came can only be to this request: none came before on this connection, nothing
+  // surplus was passed over.
+  bool is_beyond_doubt() const {
+    return asked_count_ <= 1 && !is_doubtful_;
+  }
+  bool has_passed_over() const {
+    return is_doubtful_;
+  }
+  int own_port() const {
+    return channel_.own_port();
+  }
+  Moment connected_at() const {
+    return connected_at_;
+  }
   void end();
   void abort();  // ends it so that nothing of the request arrives later
 
@@ -51,7 +83,8 @@
 
  private:
   bool is_surplus() const;
-  bool is_of_two() const;  // its id stands there more than once, as where one answer was cut and another follows
+  bool is_of_two()
+      const;  // its id stands there more than once, as where one answer was cut and another follows
   void read(Moment now);
   void flush(Moment now);
   void fail(Kind kind, Moment now);
@@ -65,7 +98,8 @@
   std::size_t sent_ = 0;
   std::uint64_t asked_count_ = 0;
   Moment connected_at_{}, latest_ = Moment::max();
-  bool has_sent_ = false, has_heard_ = false, was_connected_ = false, is_asked_ = false, is_doubtful_ = false, is_head_ = false;
+  bool has_sent_ = false, has_heard_ = false, was_connected_ = false, is_asked_ = false,
+       is_doubtful_ = false, is_head_ = false;
 };
 
 }  // namespace saddlewing
--- a/src/transport/channel.cpp
+++ b/src/transport/channel.cpp
@@ -15,7 +15,9 @@
 namespace {
 
 // POCO throws even when a non-blocking socket merely has no room.
-bool is_momentary(int code) { return code == EAGAIN || code == EWOULDBLOCK || code == EINTR; }
+bool is_momentary(int code) {
+  return code == EAGAIN || code == EWOULDBLOCK || code == EINTR;
+}
 
 }  // namespace
 
@@ -55,7 +57,8 @@
 Transfer Channel::receive(char* bytes, std::size_t count) {
   try {
     const int got = socket_.receiveBytes(bytes, static_cast<int>(count));
-    if (got == 0) return {0, true};
+    if (got == 0)
+      return {0, true};
     return {got > 0 ? static_cast<std::size_t>(got) : 0, false};
   } catch (const Poco::Exception& thrown) {
     return {0, !is_momentary(thrown.code())};
@@ -131,17 +134,21 @@
 
 Poller::Seat* Poller::seat_of(const Poco::Net::Socket& socket) {
   const int descriptor = socket.impl()->sockfd();
-  if (descriptor < 0) return nullptr;
-  if (seats_.size() <= static_cast<std::size_t>(descriptor)) seats_.resize(descriptor + 64);
+  if (descriptor < 0)
+    return nullptr;
+  if (seats_.size() <= static_cast<std::size_t>(descriptor))
+    seats_.resize(descriptor + 64);
   return &seats_[descriptor];
 }
 
 void Poller::watch(const Poco::Net::Socket& socket, int mode, Watcher& watcher) {
   Seat* seat = seat_of(socket);
-  if (!seat) return;
+  if (!seat)
+    return;
   *seat = {socket.impl(), &watcher, mode};
   try {
-    set_.add(socket, ((mode & read) ? PollSet::POLL_READ : 0) | ((mode & write) ? PollSet::POLL_WRITE : 0));
+    set_.add(socket,
+             ((mode & read) ? PollSet::POLL_READ : 0) | ((mode & write) ? PollSet::POLL_WRITE : 0));
   } catch (const Poco::Exception&) {
     *seat = {};
   }
@@ -149,10 +156,12 @@
 
 void Poller::change(const Poco::Net::Socket& socket, int mode) {
   Seat* seat = seat_of(socket);
-  if (!seat || seat->socket != socket.impl() || seat->mode == mode) return;
+  if (!seat || seat->socket != socket.impl() || seat->mode == mode)
+    return;
   seat->mode = mode;
   try {
-    set_.update(socket, ((mode & read) ? PollSet::POLL_READ : 0) | ((mode & write) ? PollSet::POLL_WRITE : 0));
+    set_.update(socket, ((mode & read) ? PollSet::POLL_READ : 0) |
+                            ((mode & write) ? PollSet::POLL_WRITE : 0));
   } catch (const Poco::Exception&) {
     // A socket that broke meanwhile is found out by its next read.
   }
@@ -160,7 +169,8 @@
 
 void Poller::leave(const Poco::Net::Socket& socket) {
   Seat* seat = seat_of(socket);
-  if (!seat || seat->socket != socket.impl()) return;
+  if (!seat || seat->socket != socket.impl())
+    return;
   *seat = {};
   try {
     set_.remove(socket);
@@ -182,9 +192,11 @@
       continue;
     }
     const Seat* seat = seat_of(socket);
-    if (!seat || seat->socket != socket.impl() || !seat->watcher) continue;
+    if (!seat || seat->socket != socket.impl() || !seat->watcher)
+      continue;
     const bool has_failed = mode & PollSet::POLL_ERROR;
-    seat->watcher->on_ready((mode & PollSet::POLL_READ) || has_failed, (mode & PollSet::POLL_WRITE) || has_failed);
+    seat->watcher->on_ready((mode & PollSet::POLL_READ) || has_failed,
+                            (mode & PollSet::POLL_WRITE) || has_failed);
   }
 }
 
--- a/src/transport/channel.h
+++ b/src/transport/channel.h
@@ -31,16 +31,20 @@
 class Channel {
  public:
   Channel() = default;
-  explicit Channel(Poco::Net::StreamSocket socket) : socket_(std::move(socket)) { prepare(); }
+  explicit Channel(Poco::Net::StreamSocket socket) : socket_(std::move(socket)) {
+    prepare();
+  }
   static std::optional<Channel> connect(const Address& address);
 
   Transfer send(const char* bytes, std::size_t count);
   Transfer receive(char* bytes, std::size_t count);
   bool is_connected_well();  // after a connect in progress became writable
-  int own_port() const;  // 0: it is not connected
+  int own_port() const;      // 0: it is not connected
   void finish_sending();
   void reset_at_close();  // what has not left by then is never delivered
-  const Poco::Net::StreamSocket& socket() const { return socket_; }
+  const Poco::Net::StreamSocket& socket() const {
+    return socket_;
+  }
 
  private:
   void prepare();
@@ -52,23 +56,33 @@
   Fault open(const Address& address);
   std::optional<Channel> admit();
   void close();
-  const Poco::Net::ServerSocket& socket() const { return socket_; }
-  bool is_open() const { return is_open_; }
+  const Poco::Net::ServerSocket& socket() const {
+    return socket_;
+  }
+  bool is_open() const {
+    return is_open_;
+  }
 
  private:
   Poco::Net::ServerSocket socket_;
   bool is_open_ = false;
 };
 
-// One thread's sockets. Watchers are found by descriptor; one that left during a round gets nothing more.
+// One thread's sockets. Watchers are found by descriptor; one that left during a round gets nothing
+// more.
 class Poller {
  public:
-  enum Mode { read = 1, write = 2 };
+  enum Mode {
+    read = 1,
+    write = 2
+  };
   void watch(const Poco::Net::Socket& socket, int mode, Watcher& watcher);
   void change(const Poco::Net::Socket& socket, int mode);
   void leave(const Poco::Net::Socket& socket);
   void poll(Span most);
-  void wake() { waker_.wake(); }
+  void wake() {
+    waker_.wake();
+  }
 
   Poller();
 
@@ -80,7 +94,8 @@
   };
   Seat* seat_of(const Poco::Net::Socket& socket);
   Waker waker_;
-  Poco::Net::StreamSocket wake_socket_;  // the waker as the poll set wants it, on a descriptor of its own
+  Poco::Net::StreamSocket
+      wake_socket_;  // the waker as the poll set wants it, on a descriptor of its own
   Poco::Net::PollSet set_;
   std::vector<Seat> seats_;
 };
--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -1,5 +1,6 @@
 #pragma once
-// HTTP/1.1 messages: an own strict check of the framing, then POCO's message classes for the fields.
+// HTTP/1.1 messages: an own strict check of the framing, then POCO's message classes for the
+// fields.
 #include <Poco/Net/HTTPRequest.h>
 #include <Poco/Net/HTTPResponse.h>
 
@@ -11,7 +12,12 @@
 
 namespace saddlewing {
 
-enum class Framing { none, length, chunked, until_close };
+enum class Framing {
+  none,
+  length,
+  chunked,
+  until_close
+};
 
 struct HeadFacts {
   Framing framing = Framing::none;
@@ -29,23 +35,50 @@
 // Invariant: bytes behind the message stay in the buffer untouched.
 class MessageReader {
  public:
-  enum class Step { more, done, failed };
+  enum class Step {
+    more,
+    done,
+    failed
+  };
   MessageReader(bool is_request, std::size_t most_head, std::size_t most_body)
-      : is_request_(is_request), most_head_(most_head), most_body_(most_body) {}
+      : is_request_(is_request), most_head_(most_head), most_body_(most_body) {
+  }
 
   Step advance(std::string& buffer);
-  void expect_no_body() { is_bodiless_ = true; }  // the answer to HEAD
+  void expect_no_body() {
+    is_bodiless_ = true;
+  }  // the answer to HEAD
   void reset();
 
-  bool has_head() const { return phase_ != Phase::head; }
-  Kind why() const { return why_; }
-  const HeadFacts& facts() const { return facts_; }
-  const Poco::Net::HTTPRequest& request() const { return request_; }
-  const Poco::Net::HTTPResponse& response() const { return response_; }
-  std::string& body() { return body_; }
+  bool has_head() const {
+    return phase_ != Phase::head;
+  }
+  Kind why() const {
+    return why_;
+  }
+  const HeadFacts& facts() const {
+    return facts_;
+  }
+  const Poco::Net::HTTPRequest& request() const {
+    return request_;
+  }
+  const Poco::Net::HTTPResponse& response() const {
+    return response_;
+  }
+  std::string& body() {
+    return body_;
+  }
 
  private:
-  enum class Phase { head, body, chunk_size, chunk_data, chunk_end, trailer, done };
+  enum class Phase {
+    head,
+    body,
+    chunk_size,
+    chunk_data,
+    chunk_end,
+    trailer,
+    done
+  };
   Step read_head(std::string& buffer);
   Step read_chunks(std::string& buffer);
   Step fail(Kind why);
--- a/src/transport/link.cpp
+++ b/src/transport/link.cpp
@@ -3,8 +3,9 @@
 namespace saddlewing {
 namespace {
 
-constexpr int most_held = 256;            // frames a socket holds each way
-constexpr int largest_frame = 16 << 20;   // an entry carries the whole state: a configuration of 8 MiB and the sheets
+constexpr int most_held = 256;  // frames a socket holds each way
+constexpr int largest_frame =
+    16 << 20;  // an entry carries the whole state: a configuration of 8 MiB and the sheets
 
 void prepare(zmq::socket_t& socket) {
   socket.set(zmq::sockopt::linger, 0);
@@ -18,7 +19,8 @@
 
 std::optional<std::string> receive_part(zmq::socket_t& socket, zmq::recv_flags flags) {
   zmq::message_t message;
-  if (!socket.recv(message, flags)) return std::nullopt;
+  if (!socket.recv(message, flags))
+    return std::nullopt;
   return std::string(static_cast<const char*>(message.data()), message.size());
 }
 
@@ -39,11 +41,13 @@
 std::optional<Parcel> Hub::receive() {
   try {
     auto route = receive_part(socket_, zmq::recv_flags::dontwait);
-    if (!route) return std::nullopt;
+    if (!route)
+      return std::nullopt;
     Parcel parcel{std::move(*route), {}};
     while (socket_.get(zmq::sockopt::rcvmore)) {
       auto part = receive_part(socket_, zmq::recv_flags::dontwait);
-      if (part) parcel.bytes += *part;
+      if (part)
+        parcel.bytes += *part;
     }
     return parcel;
   } catch (const zmq::error_t&) {
@@ -53,7 +57,8 @@
 
 bool Hub::send(const std::string& route, const std::string& bytes) {
   try {
-    if (!socket_.send(zmq::buffer(route), zmq::send_flags::sndmore | zmq::send_flags::dontwait)) return false;
+    if (!socket_.send(zmq::buffer(route), zmq::send_flags::sndmore | zmq::send_flags::dontwait))
+      return false;
     return socket_.send(zmq::buffer(bytes), zmq::send_flags::dontwait).has_value();
   } catch (const zmq::error_t&) {
     return false;
@@ -77,8 +82,10 @@
 std::optional<Parcel> Spoke::receive() {
   try {
     auto bytes = receive_part(socket_, zmq::recv_flags::dontwait);
-    if (!bytes) return std::nullopt;
-    while (socket_.get(zmq::sockopt::rcvmore)) receive_part(socket_, zmq::recv_flags::dontwait);
+    if (!bytes)
+      return std::nullopt;
+    while (socket_.get(zmq::sockopt::rcvmore))
+      receive_part(socket_, zmq::recv_flags::dontwait);
     return Parcel{{}, std::move(*bytes)};
   } catch (const zmq::error_t&) {
     return std::nullopt;
@@ -96,14 +103,16 @@
 void wait_links(const std::vector<void*>& handles, const Waker& waker, Span most) {
   std::vector<zmq::pollitem_t> items;
   items.reserve(handles.size() + 1);
-  for (void* handle : handles) items.push_back({handle, 0, ZMQ_POLLIN, 0});
+  for (void* handle : handles)
+    items.push_back({handle, 0, ZMQ_POLLIN, 0});
   items.push_back({nullptr, waker.descriptor(), ZMQ_POLLIN, 0});
   try {
     zmq::poll(items, most);
   } catch (const zmq::error_t&) {
     return;
   }
-  if (items.back().revents) waker.clear();
+  if (items.back().revents)
+    waker.clear();
 }
 
 }  // namespace saddlewing
--- a/src/transport/link.h
+++ b/src/transport/link.h
@@ -1,5 +1,6 @@
 #pragma once
-// ZeroMQ between the system's own processes. One hub admits, spokes reach out; frames are whole or absent.
+// ZeroMQ between the system's own processes. One hub admits, spokes reach out; frames are whole or
+// absent.
 #include <optional>
 #include <string>
 #include <vector>
@@ -19,8 +20,11 @@
 
 class LinkContext {
  public:
-  LinkContext() : context_(1) {}
-  zmq::context_t& context() { return context_; }
+  LinkContext() : context_(1) {
+  }
+  zmq::context_t& context() {
+    return context_;
+  }
 
  private:
   zmq::context_t context_;
@@ -32,7 +36,9 @@
   Fault open(LinkContext& context, const Address& address);
   std::optional<Parcel> receive();
   bool send(const std::string& route, const std::string& bytes);
-  void* handle() { return socket_.handle(); }
+  void* handle() {
+    return socket_.handle();
+  }
 
  private:
   zmq::socket_t socket_;
@@ -44,8 +50,12 @@
   Spoke(LinkContext& context, const Address& address);
   std::optional<Parcel> receive();
   bool send(const std::string& bytes);
-  void* handle() { return socket_.handle(); }
-  const Address& address() const { return address_; }
+  void* handle() {
+    return socket_.handle();
+  }
+  const Address& address() const {
+    return address_;
+  }
 
  private:
   Address address_;
--- a/src/transport/ring.h
+++ b/src/transport/ring.h
@@ -13,11 +13,16 @@
 // Wakes a thread that waits on descriptors.
 class Waker {
  public:
-  Waker() : descriptor_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {}
-  ~Waker() { ::close(descriptor_); }
+  Waker() : descriptor_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+  }
+  ~Waker() {
+    ::close(descriptor_);
+  }
   Waker(const Waker&) = delete;
   Waker& operator=(const Waker&) = delete;
-  int descriptor() const { return descriptor_; }
+  int descriptor() const {
+    return descriptor_;
+  }
   void wake() const {
     const std::uint64_t one = 1;
     [[maybe_unused]] const auto written = ::write(descriptor_, &one, sizeof one);
@@ -35,19 +40,24 @@
 template <class T>
 class Ring {
  public:
-  Ring(std::size_t capacity, std::function<void()> wake) : capacity_(capacity), wake_(std::move(wake)) {}
+  Ring(std::size_t capacity, std::function<void()> wake)
+      : capacity_(capacity), wake_(std::move(wake)) {
+  }
   bool push(T item) {
     bool was_empty;
     {
       const std::lock_guard lock(mutex_);
-      if (items_.size() >= capacity_) return false;
+      if (items_.size() >= capacity_)
+        return false;
       was_empty = items_.empty();
       items_.push_back(std::move(item));
     }
-    if (was_empty && wake_) wake_();
+    if (was_empty && wake_)
+      wake_();
     return true;
   }
-  // For a reader that goes by the newest alone: what waits makes room for it, so it is never the one refused.
+  // For a reader that goes by the newest alone: what waits makes room for it, so it is never the
+  // one refused.
   void replace(T item) {
     bool was_empty;
     {
@@ -56,7 +66,8 @@
       items_.clear();
       items_.push_back(std::move(item));
     }
-    if (was_empty && wake_) wake_();
+    if (was_empty && wake_)
+      wake_();
   }
   std::vector<T> take() {
     std::vector<T> taken;
--- a/src/transport/schedule.h
+++ b/src/transport/schedule.h
@@ -24,7 +24,9 @@
   struct Slot {
     Moment when;
     Scheduled* who;
-    bool operator<(const Slot& other) const { return when > other.when; }  // earliest on top
+    bool operator<(const Slot& other) const {
+      return when > other.when;
+    }  // earliest on top
   };
   using Heap = boost::heap::d_ary_heap<Slot, boost::heap::arity<4>, boost::heap::mutable_<true>>;
   Schedule* schedule_ = nullptr;  // invariant: set exactly while handle_ is in its heap
@@ -42,7 +44,8 @@
     }
   }
   void drop(Scheduled& who) {
-    if (!who.schedule_) return;
+    if (!who.schedule_)
+      return;
     heap_.erase(who.handle_);
     who.schedule_ = nullptr;
   }
@@ -54,7 +57,8 @@
     }
   }
   Span until_next(Moment now, Span most) const {
-    if (heap_.empty()) return most;
+    if (heap_.empty())
+      return most;
     const auto wait = std::chrono::ceil<Span>(heap_.top().when - now);
     return std::clamp(wait, Span(0), most);
   }
@@ -64,7 +68,8 @@
 };
 
 inline Scheduled::~Scheduled() {
-  if (schedule_) schedule_->drop(*this);
+  if (schedule_)
+    schedule_->drop(*this);
 }
 
 }  // namespace saddlewing
--- a/src/transport/server.cpp
+++ b/src/transport/server.cpp
@@ -12,11 +12,16 @@
 std::string write_reply(const Reply& reply, bool should_close, bool is_head, Span quiet) {
   std::string text = "HTTP/1.1 " + std::to_string(reply.status) + " " + reply.reason + "\r\n";
   text += reply.fields;
-  if (reply.status != 204 && reply.status != 304 && !reply.is_bodiless) text += "Content-Length: " + std::to_string(reply.body.size()) + "\r\n";
-  if (should_close) text += "Connection: close\r\n";
-  else text += "Keep-Alive: timeout=" + std::to_string(std::max<std::int64_t>(1, quiet.count() / 1000 - 1)) + "\r\n";
+  if (reply.status != 204 && reply.status != 304 && !reply.is_bodiless)
+    text += "Content-Length: " + std::to_string(reply.body.size()) + "\r\n";
+  if (should_close)
+    text += "Connection: close\r\n";
+  else
+    text += "Keep-Alive: timeout=" +
+            std::to_string(std::max<std::int64_t>(1, quiet.count() / 1000 - 1)) + "\r\n";
   text += "\r\n";
-  if (!is_head) text += reply.body;
+  if (!is_head)
+    text += reply.body;
   return text;
 }
 
@@ -24,18 +29,24 @@
 
 Reply reply_of(Kind kind, const std::string& text) {
   const StatusLine line = status_of(kind);
-  Reply reply{line.status, line.reason, "Content-Type: text/plain\r\n", text.empty() ? make_error_code(kind).message() : text};
+  Reply reply{line.status, line.reason, "Content-Type: text/plain\r\n",
+              text.empty() ? make_error_code(kind).message() : text};
   reply.body += "\n";
   return reply;
 }
 
 Visit::Visit(Server& server, VisitId id, Channel channel, Moment now)
-    : server_(server), id_(id), channel_(std::move(channel)), reader_(true, server.limits_.most_head, server.limits_.most_body) {
+    : server_(server),
+      id_(id),
+      channel_(std::move(channel)),
+      reader_(true, server.limits_.most_head, server.limits_.most_body) {
   server_.poller_.watch(channel_.socket(), Poller::read, *this);
   start_reading(now);
 }
 
-Visit::~Visit() { server_.poller_.leave(channel_.socket()); }
+Visit::~Visit() {
+  server_.poller_.leave(channel_.socket());
+}
 
 void Visit::start_reading(Moment now) {
   state_ = State::reading;
@@ -49,31 +60,40 @@
 
 void Visit::on_ready(bool is_readable, bool is_writable) {
   const Moment now = Clock::now();
-  if (is_writable && state_ != State::closed) flush(now);
-  if (is_readable && state_ != State::closed) read(now);
+  if (is_writable && state_ != State::closed)
+    flush(now);
+  if (is_readable && state_ != State::closed)
+    read(now);
 }
 
 void Visit::read(Moment now) {
   char bytes[16384];
   for (int round = 0; round < 4 && state_ != State::closed; ++round) {
-    if (state_ != State::reading && in_.size() >= most_ahead) {  // enough is waiting: the rest stays in the socket
+    if (state_ != State::reading &&
+        in_.size() >= most_ahead) {  // enough is waiting: the rest stays in the socket
       server_.poller_.change(channel_.socket(), out_.empty() ? 0 : Poller::write);
       return;
     }
     const Transfer got = channel_.receive(bytes, sizeof bytes);
     if (got.is_closed) {
       has_ended_ = true;
-      if (state_ == State::handling) server_.handler_.on_gone(*this);
+      if (state_ == State::handling)
+        server_.handler_.on_gone(*this);
       return close();
     }
-    if (!got.count) return;
-    if (state_ == State::closing) continue;
+    if (!got.count)
+      return;
+    if (state_ == State::closing)
+      continue;
     in_.append(bytes, got.count);
     moved_ = now;
     count_held();
-    if (state_ == State::reading && server_.held_ > server_.most_held_) return refuse(Kind::overloaded, now);
-    if (state_ == State::reading) advance(now);
-    if (got.count < sizeof bytes) return;
+    if (state_ == State::reading && server_.held_ > server_.most_held_)
+      return refuse(Kind::overloaded, now);
+    if (state_ == State::reading)
+      advance(now);
+    if (got.count < sizeof bytes)
+      return;
   }
 }
 
@@ -84,13 +104,16 @@
 }
 
 void Visit::advance(Moment now) {
-  if (std::exchange(is_advancing_, true)) return;
-  while (state_ == State::reading && take_next(now)) {}
+  if (std::exchange(is_advancing_, true))
+    return;
+  while (state_ == State::reading && take_next(now)) {
+  }
   is_advancing_ = false;
 }
 
 bool Visit::take_next(Moment now) {
-  if (in_.empty() && is_fresh_) return false;
+  if (in_.empty() && is_fresh_)
+    return false;
   if (is_fresh_) {
     is_fresh_ = false;
     began_ = now;
@@ -103,7 +126,8 @@
     return false;
   }
   if (step == MessageReader::Step::more) {
-    if (!had_head && reader_.has_head()) server_.schedule_.set(*this, now + server_.limits_.quiet);
+    if (!had_head && reader_.has_head())
+      server_.schedule_.set(*this, now + server_.limits_.quiet);
     if (reader_.has_head() && facts().is_waiting && !has_continued_ && reader_.body().empty()) {
       has_continued_ = true;
       out_ += "HTTP/1.1 100 Continue\r\n\r\n";
@@ -127,21 +151,24 @@
 }
 
 void Visit::answer(Reply reply, Moment now) {
-  if (state_ != State::handling) return;
+  if (state_ != State::handling)
+    return;
   should_close_ = reply.should_close || !facts().is_persistent || server_.is_leaving_;
   out_ += write_reply(reply, should_close_, is_head_, server_.limits_.quiet);
   state_ = State::answering;
   server_.schedule_.set(*this, now + server_.limits_.quiet);
   moved_ = now;
   flush(now);
-  if (state_ != State::closed) count_held();
+  if (state_ != State::closed)
+    count_held();
 }
 
 void Visit::flush(Moment now) {
   while (sent_ < out_.size()) {
     const Transfer gone = channel_.send(out_.data() + sent_, out_.size() - sent_);
     if (gone.is_closed) {
-      if (state_ == State::handling) server_.handler_.on_gone(*this);
+      if (state_ == State::handling)
+        server_.handler_.on_gone(*this);
       return close();
     }
     if (!gone.count) {
@@ -154,7 +181,8 @@
   out_.clear();
   sent_ = 0;
   server_.poller_.change(channel_.socket(), Poller::read);
-  if (state_ == State::answering) settle(now);
+  if (state_ == State::answering)
+    settle(now);
 }
 
 // The answer is out whole: the next request, or the end.
@@ -166,11 +194,13 @@
     return;
   }
   start_reading(now);
-  if (!in_.empty()) advance(now);
+  if (!in_.empty())
+    advance(now);
 }
 
 void Visit::on_due(Moment now) {
-  if (state_ == State::closing) return close();
+  if (state_ == State::closing)
+    return close();
   if (state_ == State::reading && !is_fresh_) {
     // A body may take its time as long as it moves.
     if (reader_.has_head() && now - moved_ < server_.limits_.quiet) {
@@ -187,26 +217,30 @@
 }
 
 void Visit::close() {
-  if (state_ == State::closed) return;
+  if (state_ == State::closed)
+    return;
   state_ = State::closed;
   server_.held_ -= held_;
   held_ = 0;
   server_.schedule_.drop(*this);
   server_.poller_.leave(channel_.socket());
   const auto found = server_.visits_.find(id_);
-  if (found == server_.visits_.end()) return;
+  if (found == server_.visits_.end())
+    return;
   server_.closed_.push_back(std::move(found->second));
   server_.visits_.erase(found);
 }
 
 Fault Server::open(const Address& address) {
-  if (Fault found = listener_.open(address)) return found;
+  if (Fault found = listener_.open(address))
+    return found;
   poller_.watch(listener_.socket(), Poller::read, *this);
   return {};
 }
 
 void Server::stop_admitting() {
-  if (!listener_.is_open()) return;
+  if (!listener_.is_open())
+    return;
   on_ready(true, false);  // whoever waits at the door still comes in
   poller_.leave(listener_.socket());
   listener_.close();
@@ -215,10 +249,12 @@
 void Server::close_idle() {
   std::vector<Visit*> idle;
   for (const auto& [id, visit] : visits_)
-    if (visit->state_ == Visit::State::reading && visit->is_fresh_) idle.push_back(visit.get());
+    if (visit->state_ == Visit::State::reading && visit->is_fresh_)
+      idle.push_back(visit.get());
   for (Visit* visit : idle) {
     visit->read(Clock::now());  // a request that just came is served first
-    if (visit->state_ == Visit::State::reading && visit->is_fresh_) visit->close();
+    if (visit->state_ == Visit::State::reading && visit->is_fresh_)
+      visit->close();
   }
 }
 
@@ -231,8 +267,10 @@
   const Moment now = Clock::now();
   for (int round = 0; round < 64; ++round) {
     auto channel = listener_.admit();
-    if (!channel) return;
-    if (visits_.size() >= most_visits_) continue;  // closed by its destructor
+    if (!channel)
+      return;
+    if (visits_.size() >= most_visits_)
+      continue;  // closed by its destructor
     const VisitId id{++last_id_};
     visits_[id] = std::make_unique<Visit>(*this, id, std::move(*channel), now);
   }
--- a/src/transport/server.h
+++ b/src/transport/server.h
@@ -34,15 +34,31 @@
 // One connection of a client. Its way: Reading -> Handling -> Answering -> Reading or Closing.
 class Visit final : public Watcher, public Scheduled {
  public:
-  enum class State { reading, handling, answering, closing, closed };
+  enum class State {
+    reading,
+    handling,
+    answering,
+    closing,
+    closed
+  };
   Visit(Server& server, VisitId id, Channel channel, Moment now);
   ~Visit() override;
 
-  VisitId id() const { return id_; }
-  const Poco::Net::HTTPRequest& request() const { return reader_.request(); }
-  const HeadFacts& facts() const { return reader_.facts(); }
-  std::string& body() { return reader_.body(); }
-  Moment began() const { return began_; }  // when the first byte of the request was seen
+  VisitId id() const {
+    return id_;
+  }
+  const Poco::Net::HTTPRequest& request() const {
+    return reader_.request();
+  }
+  const HeadFacts& facts() const {
+    return reader_.facts();
+  }
+  std::string& body() {
+    return reader_.body();
+  }
+  Moment began() const {
+    return began_;
+  }  // when the first byte of the request was seen
   void answer(Reply reply, Moment now);
 
   void on_ready(bool is_readable, bool is_writable) override;
@@ -68,7 +84,8 @@
   std::string in_, out_;
   std::size_t sent_ = 0, held_ = 0;
   bool should_close_ = false, is_head_ = false, has_continued_ = false, has_ended_ = false;
-  bool is_advancing_ = false;  // requests answered at once are taken in turn, not each within the one before
+  bool is_advancing_ =
+      false;  // requests answered at once are taken in turn, not each within the one before
   bool is_fresh_ = true;  // nothing of the next request has come yet
   Moment began_{}, moved_{};
 };
@@ -81,17 +98,31 @@
     virtual void on_request(Visit& visit, Moment now) = 0;
     virtual void on_gone(Visit& visit) = 0;  // the client left while its request was handled
   };
-  Server(Poller& poller, Schedule& schedule, Handler& handler, std::size_t most_visits, std::size_t most_held)
-      : poller_(poller), schedule_(schedule), handler_(handler), most_visits_(most_visits), most_held_(most_held) {}
+  Server(Poller& poller, Schedule& schedule, Handler& handler, std::size_t most_visits,
+         std::size_t most_held)
+      : poller_(poller),
+        schedule_(schedule),
+        handler_(handler),
+        most_visits_(most_visits),
+        most_held_(most_held) {
+  }
 
   Fault open(const Address& address);
   void stop_admitting();
-  void set_limits(const VisitLimits& limits) { limits_ = limits; }
-  void set_leaving() { is_leaving_ = true; }
+  void set_limits(const VisitLimits& limits) {
+    limits_ = limits;
+  }
+  void set_leaving() {
+    is_leaving_ = true;
+  }
   void close_idle();
   Visit* find(VisitId id);
-  std::size_t count() const { return visits_.size(); }
-  void reap() { closed_.clear(); }  // frees what closed during a round
+  std::size_t count() const {
+    return visits_.size();
+  }
+  void reap() {
+    closed_.clear();
+  }  // frees what closed during a round
 
   void on_ready(bool is_readable, bool is_writable) override;
 
@@ -101,7 +132,8 @@
   Schedule& schedule_;
   Handler& handler_;
   std::size_t most_visits_, most_held_;
-  std::size_t held_ = 0;  // invariant: the sum of what the visits hold in their buffers, as last counted
+  std::size_t held_ =
+      0;  // invariant: the sum of what the visits hold in their buffers, as last counted
   VisitLimits limits_;
   bool is_leaving_ = false;
   Listener listener_;
--- a/src/transport/wire_link.cpp
+++ b/src/transport/wire_link.cpp
@@ -4,7 +4,8 @@
 
 bool WireLink::connect(const Address& address) {
   auto channel = Channel::connect(address);
-  if (!channel) return false;
+  if (!channel)
+    return false;
   channel_ = std::move(*channel);
   state_ = State::connecting;
   poller_.watch(channel_.socket(), Poller::read | Poller::write, *this);
@@ -18,81 +19,102 @@
 }
 
 void WireLink::close() {
-  if (state_ == State::ended) return;
+  if (state_ == State::ended)
+    return;
   state_ = State::ended;
   poller_.leave(channel_.socket());
   channel_ = Channel();
 }
 
 void WireLink::end(WireStep step) {
-  if (state_ == State::ended) return;
+  if (state_ == State::ended)
+    return;
   close();
   owner_.on_end(step);
 }
 
 bool WireLink::send(std::string_view bytes) {
-  if (state_ == State::ended) return false;
+  if (state_ == State::ended)
+    return false;
   out_ += bytes;
-  if (out_.size() - sent_ > most_unsent) return false;
-  if (state_ == State::open) flush();
+  if (out_.size() - sent_ > most_unsent)
+    return false;
+  if (state_ == State::open)
+    flush();
   return state_ != State::ended;
 }
 
 void WireLink::finish() {
   is_finishing_ = true;
-  if (state_ == State::open && out_.empty()) end(WireStep::more);
+  if (state_ == State::open && out_.empty())
+    end(WireStep::more);
 }
 
 void WireLink::flush() {
   while (sent_ < out_.size()) {
     const Transfer gone = channel_.send(out_.data() + sent_, out_.size() - sent_);
-    if (gone.is_closed) return end(WireStep::more);
-    if (!gone.count) return poller_.change(channel_.socket(), Poller::write | (is_full_ ? 0 : Poller::read));
+    if (gone.is_closed)
+      return end(WireStep::more);
+    if (!gone.count)
+      return poller_.change(channel_.socket(), Poller::write | (is_full_ ? 0 : Poller::read));
     sent_ += gone.count;
   }
   out_.clear();
   sent_ = 0;
   poller_.change(channel_.socket(), is_full_ ? 0 : Poller::read);
-  if (is_finishing_) end(WireStep::more);
+  if (is_finishing_)
+    end(WireStep::more);
 }
 
 void WireLink::on_ready(bool is_readable, bool is_writable) {
   if (state_ == State::connecting) {
-    if (!channel_.is_connected_well()) return end(WireStep::more);
-    if (!is_writable) return;
+    if (!channel_.is_connected_well())
+      return end(WireStep::more);
+    if (!is_writable)
+      return;
     state_ = State::open;
     return flush();
   }
-  if (is_writable && state_ == State::open) flush();
-  if (is_readable && state_ == State::open) read();
+  if (is_writable && state_ == State::open)
+    flush();
+  if (is_readable && state_ == State::open)
+    read();
 }
 
 void WireLink::read() {
   static thread_local char bytes[65536];
   for (;;) {
     const Transfer got = channel_.receive(bytes, sizeof bytes);
-    if (got.is_closed) return end(WireStep::more);
-    if (!got.count) break;
-    if (is_finishing_) continue;
+    if (got.is_closed)
+      return end(WireStep::more);
+    if (!got.count)
+      break;
+    if (is_finishing_)
+      continue;
     in_.append(bytes, got.count);
-    if (in_.size() > most_ahead) break;
-    if (got.count < sizeof bytes) break;
+    if (in_.size() > most_ahead)
+      break;
+    if (got.count < sizeof bytes)
+      break;
   }
   tell();
 }
 
 void WireLink::resume() {
   is_held_ = false;
-  if (state_ == State::open && !in_.empty()) tell();
+  if (state_ == State::open && !in_.empty())
+    tell();
 }
 
 void WireLink::tell() {
-  if (is_telling_) return;  // whoever is told now goes on when it returns
+  if (is_telling_)
+    return;  // whoever is told now goes on when it returns
   is_telling_ = true;
   while (state_ == State::open && !is_held_ && !is_finishing_) {
     WireMessage message;
     const WireStep step = read_wire(in_, message);
-    if (step == WireStep::more) break;
+    if (step == WireStep::more)
+      break;
     if (step != WireStep::done) {
       owner_.on_end(step);  // it may still say something before it closes
       break;
@@ -100,11 +122,13 @@
     is_held_ = !owner_.on_message(std::move(message));
   }
   is_telling_ = false;
-  if (state_ != State::open) return;
+  if (state_ != State::open)
+    return;
   const bool is_full = in_.size() > most_ahead;
   if (is_full != is_full_) {
     is_full_ = is_full;
-    poller_.change(channel_.socket(), (is_full_ ? 0 : Poller::read) | (out_.empty() ? 0 : Poller::write));
+    poller_.change(channel_.socket(),
+                   (is_full_ ? 0 : Poller::read) | (out_.empty() ? 0 : Poller::write));
   }
 }
 
--- a/src/transport/wire_link.h
+++ b/src/transport/wire_link.h
@@ -13,23 +13,34 @@
  public:
   struct Owner {
     std::function<bool(WireMessage&&)> on_message;  // false: no more for now; `resume` goes on
-    std::function<void(WireStep)> on_end;           // more: the peer ended it; else what could not be read
+    std::function<void(WireStep)> on_end;  // more: the peer ended it; else what could not be read
   };
-  WireLink(Poller& poller, Owner owner) : poller_(poller), owner_(std::move(owner)) {}
-  ~WireLink() override { close(); }
+  WireLink(Poller& poller, Owner owner) : poller_(poller), owner_(std::move(owner)) {
+  }
+  ~WireLink() override {
+    close();
+  }
   bool connect(const Address& address);
   void admit(Channel channel);
 
   bool send(std::string_view bytes);  // false: the connection is gone
   void close();
-  void finish();                      // closes once what was said has left
+  void finish();  // closes once what was said has left
   void resume();
-  bool is_ended() const { return state_ == State::ended; }
-  bool has_room() const { return out_.size() - sent_ < most_unsent; }
+  bool is_ended() const {
+    return state_ == State::ended;
+  }
+  bool has_room() const {
+    return out_.size() - sent_ < most_unsent;
+  }
   void on_ready(bool is_readable, bool is_writable) override;
 
  private:
-  enum class State { connecting, open, ended };
+  enum class State {
+    connecting,
+    open,
+    ended
+  };
   void read();
   void flush();
   void tell();
