--- a/tests/agreement_test.cpp
+++ b/tests/agreement_test.cpp
@@ -9,12 +9,14 @@
 
 bool is_member(Cluster& cluster, MemberId id) {
   const auto& members = cluster.at(cluster.leader()).agreement->committed()->members;
-  return std::any_of(members.begin(), members.end(), [&](const Member& member) { return member.id == id; });
+  return std::any_of(members.begin(), members.end(),
+                     [&](const Member& member) { return member.id == id; });
 }
 
 std::string other_than(Cluster& cluster, const std::string& address) {
   for (const std::string& founder : cluster.founders())
-    if (founder != address) return founder;
+    if (founder != address)
+      return founder;
   return {};
 }
 
@@ -27,7 +29,8 @@
   const std::uint64_t token = cluster.propose(7, "seven");
   cr_assert(cluster.run_until([&] { return cluster.is_done(leader, token); }));
   cluster.run(500ms);
-  for (const std::string& address : cluster.founders()) cr_expect(cluster.body_at(address) == "seven");
+  for (const std::string& address : cluster.founders())
+    cr_expect(cluster.body_at(address) == "seven");
 }
 
 Test(agreement, an_older_version_is_acknowledged_and_changes_nothing) {
@@ -36,9 +39,11 @@
   const std::string leader = cluster.leader();
   cluster.propose(7, "seven");
   const std::uint64_t same = cluster.propose(7, "other seven"), older = cluster.propose(3, "three");
-  cr_assert(cluster.run_until([&] { return cluster.is_done(leader, same) && cluster.is_done(leader, older); }));
+  cr_assert(cluster.run_until(
+      [&] { return cluster.is_done(leader, same) && cluster.is_done(leader, older); }));
   cluster.run(500ms);
-  for (const std::string& address : cluster.founders()) cr_expect(cluster.body_at(address) == "seven");
+  for (const std::string& address : cluster.founders())
+    cr_expect(cluster.body_at(address) == "seven");
 }
 
 Test(agreement, nothing_is_acknowledged_before_a_majority_synced_it) {
@@ -46,12 +51,15 @@
   cluster.run_until([&] { return cluster.has_leader(); });
   const std::string leader = cluster.leader();
   for (const std::string& address : cluster.founders())
-    if (address != leader) cluster.at(address).is_stuck = true;
+    if (address != leader)
+      cluster.at(address).is_stuck = true;
   const std::uint64_t token = cluster.propose(2, "two");
   cluster.run(3000ms);
   cr_expect(!cluster.is_done(leader, token));
-  for (const std::string& address : cluster.founders()) cluster.at(address).is_stuck = false;
-  cr_expect(cluster.run_until([&] { return cluster.has_leader() && cluster.body_at(cluster.leader()) == "two"; }));
+  for (const std::string& address : cluster.founders())
+    cluster.at(address).is_stuck = false;
+  cr_expect(cluster.run_until(
+      [&] { return cluster.has_leader() && cluster.body_at(cluster.leader()) == "two"; }));
 }
 
 Test(agreement, what_was_acknowledged_survives_the_leader_and_its_disk) {
@@ -62,7 +70,8 @@
   cluster.run_until([&] { return cluster.is_done(leader, token); });
   cluster.wipe(leader);
   cluster.start(leader);
-  cr_assert(cluster.run_until([&] { return cluster.has_leader() && cluster.body_at(cluster.leader()) == "nine"; }));
+  cr_assert(cluster.run_until(
+      [&] { return cluster.has_leader() && cluster.body_at(cluster.leader()) == "nine"; }));
 }
 
 Test(agreement, a_wiped_member_comes_back_under_a_fresh_id) {
@@ -73,11 +82,16 @@
   cluster.wipe(wiped);
   cluster.run(3500ms);
   cluster.start(wiped);
-  cr_assert(cluster.run_until([&] { return is_member(cluster, cluster.at(wiped).disk.self) && !is_member(cluster, former); }, 3000ms));
+  cr_assert(cluster.run_until(
+      [&] {
+        return is_member(cluster, cluster.at(wiped).disk.self) && !is_member(cluster, former);
+      },
+      3000ms));
   // The third may now be lost as well.
   const std::string third = [&] {
     for (const std::string& address : cluster.founders())
-      if (address != wiped && address != cluster.leader()) return address;
+      if (address != wiped && address != cluster.leader())
+        return address;
     return std::string();
   }();
   cluster.stop(third);
@@ -91,9 +105,12 @@
   cluster.run_until([&] { return cluster.has_leader(); });
   const std::string wiped = other_than(cluster, cluster.leader());
   cluster.wipe(wiped);
-  cluster.should_drop = [](std::uint64_t, const RaftMessage& message) { return message.type == RaftMessage::Type::join; };
+  cluster.should_drop = [](std::uint64_t, const RaftMessage& message) {
+    return message.type == RaftMessage::Type::join;
+  };
   cluster.start(wiped);
-  cr_expect(cluster.run_until([&] { return is_member(cluster, cluster.at(wiped).disk.self); }, 3000ms));
+  cr_expect(
+      cluster.run_until([&] { return is_member(cluster, cluster.at(wiped).disk.self); }, 3000ms));
 }
 
 Test(agreement, a_machine_elsewhere_takes_the_place_of_a_silent_one) {
@@ -105,7 +122,8 @@
   cluster.run_until([&] { return cluster.has_leader(); });
   cluster.start("10.0.0.9:7");
   cr_assert(cluster.run_until([&] {
-    return cluster.has_leader() && is_member(cluster, cluster.at("10.0.0.9:7").disk.self) && !is_member(cluster, former);
+    return cluster.has_leader() && is_member(cluster, cluster.at("10.0.0.9:7").disk.self) &&
+           !is_member(cluster, former);
   }));
 }
 
@@ -130,7 +148,8 @@
   const std::string leader = cluster.leader();
   cluster.at(leader).is_stuck = true;
   cluster.propose(5, "five");
-  cr_assert(cluster.run_until([&] { return cluster.has_leader() && cluster.leader() != leader; }, 3000ms));
+  cr_assert(cluster.run_until([&] { return cluster.has_leader() && cluster.leader() != leader; },
+                              3000ms));
   const std::string next = cluster.leader();
   const std::uint64_t token = cluster.propose(6, "six");
   cr_expect(cluster.run_until([&] { return cluster.is_done(next, token); }));
@@ -169,7 +188,8 @@
   const std::string leader = cluster.leader();
   cluster.at(leader).agreement->transfer(cluster.now());
   cluster.flush(cluster.at(leader));
-  cr_expect(cluster.run_until([&] { return cluster.has_leader() && cluster.leader() != leader; }, 300ms));
+  cr_expect(
+      cluster.run_until([&] { return cluster.has_leader() && cluster.leader() != leader; }, 300ms));
 }
 
 Test(agreement, a_core_of_one_and_a_core_of_five_agree_as_well) {
@@ -188,7 +208,8 @@
   }
 }
 
-// All processes end at once, wherever a change stands; whatever was acknowledged is there when they are back.
+// All processes end at once, wherever a change stands; whatever was acknowledged is there when they
+// are back.
 Test(agreement, an_acknowledged_change_survives_the_end_of_all_at_any_moment) {
   for (int moment = 0; moment < 40; ++moment) {
     Cluster cluster(3);
@@ -197,8 +218,10 @@
     const std::uint64_t token = cluster.propose(6, "six");
     cluster.run(Span(5 * moment));
     const bool was_done = cluster.is_done(leader, token);
-    for (const std::string& address : cluster.founders()) cluster.stop(address);
-    for (const std::string& address : cluster.founders()) cluster.start(address);
+    for (const std::string& address : cluster.founders())
+      cluster.stop(address);
+    for (const std::string& address : cluster.founders())
+      cluster.start(address);
     cr_assert(cluster.run_until([&] { return cluster.has_leader(); }, 3000ms));
     const std::string body = cluster.body_at(cluster.leader());
     cr_expect(body == "six" || (!was_done && body.empty()), "moment %d", moment);
@@ -214,19 +237,24 @@
   cr_expect(cluster.at(cluster.leader()).agreement->term() == term, "and it stays");
 }
 
-// Every outgoing of a change is lost once, each in turn: the change still comes through, and everywhere the same.
+// Every outgoing of a change is lost once, each in turn: the change still comes through, and
+// everywhere the same.
 Test(agreement, any_one_letter_may_be_lost) {
   for (std::uint64_t lost = 1; lost <= 40; ++lost) {
     Cluster cluster(3);
     cluster.run_until([&] { return cluster.has_leader(); });
     const std::string leader = cluster.leader();
     const std::uint64_t from = cluster.sent();
-    cluster.should_drop = [&](std::uint64_t number, const RaftMessage&) { return number == from + lost; };
+    cluster.should_drop = [&](std::uint64_t number, const RaftMessage&) {
+      return number == from + lost;
+    };
     cluster.propose(8, "eight");
     cr_assert(cluster.run_until([&] {
       for (const std::string& address : cluster.founders())
-        if (cluster.body_at(address) != "eight") return false;
+        if (cluster.body_at(address) != "eight")
+          return false;
       return true;
-    }), "letter %d", static_cast<int>(lost));
+    }),
+              "letter %d", static_cast<int>(lost));
   }
 }
--- a/tests/alerts_test.cpp
+++ b/tests/alerts_test.cpp
@@ -10,17 +10,23 @@
 
 constexpr Moment start = Moment{} + 1000s;
 
-std::string file(const std::string& rule) { return "groups:\n- name: g\n  rules:\n  - " + rule; }
+std::string file(const std::string& rule) {
+  return "groups:\n- name: g\n  rules:\n  - " + rule;
+}
 
 }  // namespace
 
 Test(alerts, a_rule_fires_when_it_held_long_enough_and_ceases) {
   std::vector<AlertRule> rules;
-  cr_assert(!read_alert_rules(file("{alert: Busy, expr: saddlewing_errands >= 10, for: 2s, labels: {refuse_from_rank: 2}}"), rules));
+  cr_assert(!read_alert_rules(
+      file("{alert: Busy, expr: saddlewing_errands >= 10, for: 2s, labels: {refuse_from_rank: 2}}"),
+      rules));
   Alerts alerts;
   alerts.replace(rules);
   double errands = 10;
-  const auto value = [&](Metric metric) { return metric == Metric::errands ? errands : 0; };
+  const auto value = [&](Metric metric) {
+    return metric == Metric::errands ? errands : 0;
+  };
   cr_expect(alerts.evaluate(value, start).empty());
   cr_expect(alerts.evaluate(value, start + 1s).empty() && alerts.refuse_from() > 1000);
   const std::vector<std::string> fires{"Busy fires"}, ceased{"Busy ceased"};
@@ -33,11 +39,14 @@
 
 Test(alerts, a_rate_is_the_growth_in_a_second) {
   std::vector<AlertRule> rules;
-  cr_assert(!read_alert_rules(file("{alert: Failing, expr: 'rate(saddlewing_own_5xx_total[1s]) > 5'}"), rules));
+  cr_assert(!read_alert_rules(
+      file("{alert: Failing, expr: 'rate(saddlewing_own_5xx_total[1s]) > 5'}"), rules));
   Alerts alerts;
   alerts.replace(rules);
   double failed = 1000;
-  const auto value = [&](Metric) { return failed; };
+  const auto value = [&](Metric) {
+    return failed;
+  };
   cr_expect(alerts.evaluate(value, start).empty(), "one look gives no rate");
   failed += 10;
   cr_expect(alerts.evaluate(value, start + 2s).empty());
@@ -52,13 +61,17 @@
       {file("{expr: saddlewing_errands > 1}"), "rule 0: alert is missing"},
       {file("{alert: A}"), "rule A: expr is missing"},
       {file("{alert: A, expr: up > 1}"), "rule A: expr names an unknown metric up"},
-      {file("{alert: A, expr: saddlewing_errands + 1 > 1}"), "rule A: expr is not one comparison of a metric with a number"},
-      {file("{alert: A, expr: saddlewing_errands > 1, for: soon}"), "rule A: for is not a span such as 5s"},
-      {file("{alert: A, expr: saddlewing_errands > 1, labels: {refuse_from_rank: x}}"), "rule A: labels.refuse_from_rank is not a rank"},
+      {file("{alert: A, expr: saddlewing_errands + 1 > 1}"),
+       "rule A: expr is not one comparison of a metric with a number"},
+      {file("{alert: A, expr: saddlewing_errands > 1, for: soon}"),
+       "rule A: for is not a span such as 5s"},
+      {file("{alert: A, expr: saddlewing_errands > 1, labels: {refuse_from_rank: x}}"),
+       "rule A: labels.refuse_from_rank is not a rank"},
   };
   for (const auto& [text, complaint] : rows) {
     std::vector<AlertRule> rules(3);
-    cr_expect(read_alert_rules(text, rules).step == complaint, "%s", read_alert_rules(text, rules).step.c_str());
+    cr_expect(read_alert_rules(text, rules).step == complaint, "%s",
+              read_alert_rules(text, rules).step.c_str());
     cr_expect(rules.size() == 3);
   }
   std::vector<AlertRule> rules;
--- a/tests/asking_log.h
+++ b/tests/asking_log.h
@@ -15,23 +15,31 @@
 class AskingLog final : public google::LogSink {
  public:
   struct Asking {
-    std::string try_id, backend, before;  // before: whose asking was the last one over this connection
+    std::string try_id, backend,
+        before;  // before: whose asking was the last one over this connection
     int port = 0;
     bool is_reused = false, has_broken_down = false, has_sent = true;
     std::string text() const {
-      return backend + " from " + std::to_string(port) + (is_reused ? " behind " + before : " new") + (has_broken_down ? has_sent ? " broke down" : " not sent" : "");
+      return backend + " from " + std::to_string(port) +
+             (is_reused ? " behind " + before : " new") +
+             (has_broken_down ? has_sent ? " broke down" : " not sent" : "");
     }
   };
   AskingLog() {
     google::InitGoogleLogging("saddlewing_tests");
-    for (int severity = 0; severity < google::NUM_SEVERITIES; ++severity) google::SetLogDestination(severity, "");
+    for (int severity = 0; severity < google::NUM_SEVERITIES; ++severity)
+      google::SetLogDestination(severity, "");
     FLAGS_stderrthreshold = google::GLOG_WARNING;
     FLAGS_v = 1;
     google::AddLogSink(this);
   }
-  ~AskingLog() override { google::RemoveLogSink(this); }
-  void send(google::LogSeverity, const char*, const char*, int, const struct ::tm*, const char* text, std::size_t size) override {
-    static const std::regex asked("traffic: (\\S+) asked of (\\S+) from port (\\d+) over connection (\\d+), (new|reused)"),
+  ~AskingLog() override {
+    google::RemoveLogSink(this);
+  }
+  void send(google::LogSeverity, const char*, const char*, int, const struct ::tm*,
+            const char* text, std::size_t size) override {
+    static const std::regex asked(
+        "traffic: (\\S+) asked of (\\S+) from port (\\d+) over connection (\\d+), (new|reused)"),
         broke("traffic: (\\S+) broke down over connection (\\d+), (not sent|sent): .*");
     const std::string line(text, size);
     std::smatch parts;
@@ -39,7 +47,8 @@
     if (std::regex_match(line, parts, asked)) {
       Asking asking{parts[1], parts[2], {}, std::stoi(parts[3]), parts[5] == "reused", false, true};
       std::size_t& last = last_over_.try_emplace(parts[4], SIZE_MAX).first->second;
-      if (last != SIZE_MAX) asking.before = askings_[last].try_id;
+      if (last != SIZE_MAX)
+        asking.before = askings_[last].try_id;
       last = askings_.size();
       askings_.push_back(asking);
     } else if (std::regex_match(line, parts, broke)) {
@@ -51,7 +60,8 @@
   std::vector<Asking> of(const std::string& try_id) const {
     const std::lock_guard lock(mutex_);
     std::vector<Asking> found;
-    std::ranges::copy_if(askings_, std::back_inserter(found), [&](const Asking& asking) { return asking.try_id == try_id; });
+    std::ranges::copy_if(askings_, std::back_inserter(found),
+                         [&](const Asking& asking) { return asking.try_id == try_id; });
     return found;
   }
 
--- a/tests/bulkhead_test.cpp
+++ b/tests/bulkhead_test.cpp
@@ -1,4 +1,5 @@
-// Heavy requests beside short ones: what is heavy, which slot is left, whose turn it is; and the shared view in the pick.
+// Heavy requests beside short ones: what is heavy, which slot is left, whose turn it is; and the
+// shared view in the pick.
 #include "coordination/bulkhead.h"
 #include "stage.h"
 
@@ -30,18 +31,25 @@
     classes.see("index", "lookup", 5, 300, start);
     classes.see("ledger", "check", 120, 300, start);
   }
-  cr_expect(classes.is_heavy("index", "pull", start) && !classes.is_heavy("index", "lookup", start));
-  cr_expect(!classes.is_heavy("ledger", "check", start), "it is alone there, however long it takes");
+  cr_expect(classes.is_heavy("index", "pull", start) &&
+            !classes.is_heavy("index", "lookup", start));
+  cr_expect(!classes.is_heavy("ledger", "check", start),
+            "it is alone there, however long it takes");
   cr_expect(!classes.is_heavy("index", "new", start), "nobody knows it yet");
-  // Waiting makes nothing heavy: most of these took long in a queue, and some show what the work is.
-  for (int count = 0; count < 60; ++count) classes.see("index", "lookup", count % 5 ? 60 : 5, 300, start);
+  // Waiting makes nothing heavy: most of these took long in a queue, and some show what the work
+  // is.
+  for (int count = 0; count < 60; ++count)
+    classes.see("index", "lookup", count % 5 ? 60 : 5, 300, start);
   cr_expect(!classes.is_heavy("index", "lookup", start));
-  for (int count = 0; count < 400; ++count) classes.see("index", "lookup", 5, 300, start), classes.see("index", "pull", 11, 300, start);
+  for (int count = 0; count < 400; ++count)
+    classes.see("index", "lookup", 5, 300, start), classes.see("index", "pull", 11, 300, start);
   cr_expect(classes.is_heavy("index", "pull", start), "near the bound it stays what it was");
-  for (int count = 0; count < 400; ++count) classes.see("index", "pull", 6, 300, start);
+  for (int count = 0; count < 400; ++count)
+    classes.see("index", "pull", 6, 300, start);
   cr_expect(!classes.is_heavy("index", "pull", start));
   WorkClasses off(0);
-  for (int count = 0; count < 40; ++count) off.see("index", "pull", 30, 0, start), off.see("index", "lookup", 5, 0, start);
+  for (int count = 0; count < 40; ++count)
+    off.see("index", "pull", 30, 0, start), off.see("index", "lookup", 5, 0, start);
   cr_expect(!off.is_on() && !off.is_heavy("index", "pull", start));
 }
 
@@ -54,9 +62,11 @@
   backend.asked = backend.heavy_asked = 2;
   cr_expect(!admits_heavy(backend, 5ms, 0ms, start), "the last slot is for short ones");
   cr_expect(!admits_heavy(backend, 5ms, 900ms, start), "others of its kind are there");
-  cr_expect(admits_heavy(backend, 5ms, 0ms, start + 10ms), "no short one came: it is not kept idle");
+  cr_expect(admits_heavy(backend, 5ms, 0ms, start + 10ms),
+            "no short one came: it is not kept idle");
   backend.heavy_asked = 0;
-  cr_expect(!admits_heavy(backend, 5ms, 0ms, start) && admits_heavy(backend, 5ms, 20ms, start), "one in turn, after a wait");
+  cr_expect(!admits_heavy(backend, 5ms, 0ms, start) && admits_heavy(backend, 5ms, 20ms, start),
+            "one in turn, after a wait");
   backend.asked = 3;
   cr_expect(!admits_heavy(backend, 5ms, 900ms, start), "never in a line before short ones");
   backend.asked = 1, backend.foreign_load = 2, backend.load_seen = start;
@@ -74,27 +84,36 @@
   queue.push(5, 0, true, start + 9s);
   cr_expect(!queue.push(6, 1, false, start), "full of what is no less urgent");
   int next = 0;
-  cr_expect(queue.push(7, 0, false, start + 1s) && queue.pop_last(next) && next == 1, "the lowest rank makes room, heavy first");
+  cr_expect(queue.push(7, 0, false, start + 1s) && queue.pop_last(next) && next == 1,
+            "the lowest rank makes room, heavy first");
   std::vector<int> turns;
-  while (queue.pop(next)) turns.push_back(next);
+  while (queue.pop(next))
+    turns.push_back(next);
   cr_expect(turns == std::vector<int>({7, 5, 3, 4, 2}));
   TurnQueue<int> weighted(10, 2);
-  for (int light = 1; light <= 5; ++light) weighted.push(light, 0, false, start + light * 1s);
+  for (int light = 1; light <= 5; ++light)
+    weighted.push(light, 0, false, start + light * 1s);
   weighted.push(8, 0, true, start), weighted.push(9, 0, true, start + 1s);
   turns.clear();
-  while (weighted.pop(next)) turns.push_back(next);
+  while (weighted.pop(next))
+    turns.push_back(next);
   cr_expect(turns == std::vector<int>({1, 2, 8, 3, 4, 9, 5}), "two short ones, then a heavy one");
 }
 
 Test(bulkhead, an_errand_that_must_wait_is_called_when_its_turn_comes) {
   Stage stage(single);
-  for (const auto& backend : stage.errand->table().by_service[0]) backend->capacity = 2, backend->asked = 2, backend->heavy_asked = 1, backend->short_asked = start;
+  for (const auto& backend : stage.errand->table().by_service[0])
+    backend->capacity = 2, backend->asked = 2, backend->heavy_asked = 1,
+    backend->short_asked = start;
   stage.own_wish.is_heavy = true;
   stage.own_wish.short_work = 5ms;
   stage.has_turns = true;
   stage.errand->start(start);
-  cr_expect(stage.asked.empty() && stage.turns_wanted == 1 && stage.errand->next_due() == stage.errand->deadline(), "no polling meanwhile");
-  for (const auto& backend : stage.errand->table().by_service[0]) backend->asked = backend->heavy_asked = 0;
+  cr_expect(stage.asked.empty() && stage.turns_wanted == 1 &&
+                stage.errand->next_due() == stage.errand->deadline(),
+            "no polling meanwhile");
+  for (const auto& backend : stage.errand->table().by_service[0])
+    backend->asked = backend->heavy_asked = 0;
   stage.errand->on_turn(start + 20ms);
   cr_expect(stage.asked.size() == 1);
   stage.take(0, Stage::good("a"), start + 40ms);
@@ -108,37 +127,47 @@
   backends[0]->is_avoided = true;
   cr_expect(picker.pick(backends, {}, 10, start).backend->id == "other");
   backends[1]->is_cancelled = true;
-  cr_expect(picker.pick(backends, {}, 10, start).backend->id == "near", "an avoided edge serves where no other is left");
+  cr_expect(picker.pick(backends, {}, 10, start).backend->id == "near",
+            "an avoided edge serves where no other is left");
   backends[1]->is_cancelled = false;
   picker.set_influence(0);
-  cr_expect(picker.pick(backends, {}, 10, start).backend->id == "near", "a view that faded out is none");
+  cr_expect(picker.pick(backends, {}, 10, start).backend->id == "near",
+            "a view that faded out is none");
   picker.set_influence(1);
   backends[0]->is_trying = true;
   PickWish wish;
-  cr_expect(picker.pick(backends, {}, 10, start + 1s, wish).backend->id == "other", "risky ones and those in haste never try it");
+  cr_expect(picker.pick(backends, {}, 10, start + 1s, wish).backend->id == "other",
+            "risky ones and those in haste never try it");
   wish.may_try = true;
   cr_expect(picker.pick(backends, {}, 10, start + 1s, wish).backend->id == "near");
-  cr_expect(picker.pick(backends, {}, 10, start + 1010ms, wish).backend->id == "other", "a trickle, no more");
+  cr_expect(picker.pick(backends, {}, 10, start + 1010ms, wish).backend->id == "other",
+            "a trickle, no more");
   backends[0]->is_avoided = false;
   backends[0]->percent_kept = 30;
   int kept = 0;
-  for (int count = 0; count < 1000; ++count) kept += picker.pick(backends, {}, 10, start).backend->id == "near";
+  for (int count = 0; count < 1000; ++count)
+    kept += picker.pick(backends, {}, 10, start).backend->id == "near";
   cr_expect(kept > 220 && kept < 380, "%d", kept);
 }
 
 Test(pick, large_answers_cross_zones_less_readily_than_small_ones) {
   auto backends = two_edges();
   Picker picker({"near", "here"}, 1);
-  for (int count = 0; count < 50; ++count) backends[0]->see_outcome(20, 13000), backends[1]->see_outcome(11, 13000);
+  for (int count = 0; count < 50; ++count)
+    backends[0]->see_outcome(20, 13000), backends[1]->see_outcome(11, 13000);
   cr_expect(picker.pick(backends, {}, 10, start).backend->id == "near");
-  for (int count = 0; count < 50; ++count) backends[1]->see_outcome(11, 300);
+  for (int count = 0; count < 50; ++count)
+    backends[1]->see_outcome(11, 300);
   cr_expect(picker.pick(backends, {}, 10, start).backend->id == "other");
 }
 
 Test(errand, may_start_anew_only_while_nothing_risky_has_run_and_the_allowance_covers_it) {
   Stage harmless(single), once(risky), poor(single);
-  for (Stage* stage : {&harmless, &once, &poor}) stage->errand->start(start);
-  cr_expect(harmless.errand->may_restart(0, start + 10ms) && once.errand->may_restart(0, start + 10ms), "the asking turned away is all there is");
+  for (Stage* stage : {&harmless, &once, &poor})
+    stage->errand->start(start);
+  cr_expect(
+      harmless.errand->may_restart(0, start + 10ms) && once.errand->may_restart(0, start + 10ms),
+      "the asking turned away is all there is");
   poor.extra_reserve = 0;
   cr_expect(!poor.errand->may_restart(0, start + 10ms), "no allowance");
   cr_expect(!harmless.errand->may_restart(0, start + 990ms), "too late");
--- a/tests/caller_test.cpp
+++ b/tests/caller_test.cpp
@@ -19,23 +19,34 @@
  public:
   CallerStage() {
     for (int port = 45000 + ::getpid() % 4000; !listener_.is_open() && port < 60000; ++port)
-      if (!listener_.open({"127.0.0.1", port})) address_ = {"127.0.0.1", port};
+      if (!listener_.open({"127.0.0.1", port}))
+        address_ = {"127.0.0.1", port};
     caller = std::make_unique<Caller>(poller, *this, address_, 65536, 1 << 20);
   }
-  void on_outcome(Caller&, Moment) override { ++outcomes; }
-  void on_breakdown(Caller&, Kind kind, Moment) override { breakdown = kind; }
-  void on_idle_end(Caller&) override { ++idle_ends; }
+  void on_outcome(Caller&, Moment) override {
+    ++outcomes;
+  }
+  void on_breakdown(Caller&, Kind kind, Moment) override {
+    breakdown = kind;
+  }
+  void on_idle_end(Caller&) override {
+    ++idle_ends;
+  }
   void admit() {
-    while (!far) far = listener_.admit();
+    while (!far)
+      far = listener_.admit();
   }
-  void poll() { poller.poll(Span(50)); }  // sooner, as soon as there is something
+  void poll() {
+    poller.poll(Span(50));
+  }  // sooner, as soon as there is something
   void say(const std::string& bytes) {
     cr_assert(far->send(bytes.data(), bytes.size()).count == bytes.size());
     poll();
   }
   template <class Reached>
   bool reaches(Reached reached) {
-    for (const Moment until = Clock::now() + 5s; !reached() && Clock::now() < until;) poll();
+    for (const Moment until = Clock::now() + 5s; !reached() && Clock::now() < until;)
+      poll();
     return reached();
   }
   std::string heard() {
@@ -47,7 +58,8 @@
   void greet() {
     caller->ask("GET /1 HTTP/1.1\r\n\r\n", false, "1");
     admit();
-    while (caller->state() == Caller::State::connecting || heard().empty()) poll();
+    while (caller->state() == Caller::State::connecting || heard().empty())
+      poll();
     say(good_answer("1", "b"));
     cr_assert(outcomes == 1 && caller->state() == Caller::State::idle);
   }
@@ -66,16 +78,21 @@
 }  // namespace
 
 Test(caller, its_own_answer_is_found_behind_surplus_ones_in_whichever_pieces_they_come) {
-  const std::string surplus = good_answer("1", "b") + good_answer("0", "b"), all = surplus + good_answer("2", "b");
+  const std::string surplus = good_answer("1", "b") + good_answer("0", "b"),
+                    all = surplus + good_answer("2", "b");
   for (std::size_t cut = 0; cut <= all.size(); ++cut) {
     CallerStage stage;
     stage.greet();
     stage.caller->ask("GET /2 HTTP/1.1\r\n\r\n", false, "2");
-    if (cut) stage.say(all.substr(0, cut));
+    if (cut)
+      stage.say(all.substr(0, cut));
     cr_expect(stage.breakdown == Kind::none, "cut at %zu", cut);
-    if (cut < all.size()) stage.say(all.substr(cut));
+    if (cut < all.size())
+      stage.say(all.substr(cut));
     cr_assert(stage.reaches([&] { return stage.outcomes == 2; }), "cut at %zu", cut);
-    cr_expect(stage.outcomes == 2 && stage.caller->reader().response().get("Try-Id") == "2" && stage.caller->reader().body() == "to 2 by b", "cut at %zu", cut);
+    cr_expect(stage.outcomes == 2 && stage.caller->reader().response().get("Try-Id") == "2" &&
+                  stage.caller->reader().body() == "to 2 by b",
+              "cut at %zu", cut);
     cr_expect(stage.caller->state() == Caller::State::ended, "it is not used again");
   }
 }
@@ -84,7 +101,9 @@
   CallerStage stage;
   stage.greet();
   stage.caller->ask("HEAD /2 HTTP/1.1\r\n\r\n", true, "2");
-  stage.say("HTTP/1.1 200 OK\r\nTry-Id: 1\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nTry-Id: 2\r\nContent-Length: 500\r\n\r\n");
+  stage.say(
+      "HTTP/1.1 200 OK\r\nTry-Id: 1\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nTry-Id: "
+      "2\r\nContent-Length: 500\r\n\r\n");
   cr_expect(stage.reaches([&] { return stage.outcomes == 2; }) && stage.breakdown == Kind::none);
 }
 
@@ -94,8 +113,10 @@
     CallerStage stage;
     stage.greet();
     stage.caller->ask("GET /2 HTTP/1.1\r\n\r\n", false, "2");
-    stage.say("HTTP/1.1 200 OK\r\nTry-Id: " + std::string(first) + "\r\n" + good_answer("2", "b").substr(17));
-    cr_expect(stage.reaches([&] { return stage.breakdown == Kind::garbled; }) && stage.outcomes == 1);
+    stage.say("HTTP/1.1 200 OK\r\nTry-Id: " + std::string(first) + "\r\n" +
+              good_answer("2", "b").substr(17));
+    cr_expect(stage.reaches([&] { return stage.breakdown == Kind::garbled; }) &&
+              stage.outcomes == 1);
   }
 }
 
@@ -105,23 +126,28 @@
     CallerStage stage;
     stage.greet();
     cr_expect(stage.caller->is_quiet());
-    if (kind == 0) stage.far->finish_sending();
-    if (kind == 1) cr_assert(stage.far->send("x", 1).count == 1);
+    if (kind == 0)
+      stage.far->finish_sending();
+    if (kind == 1)
+      cr_assert(stage.far->send("x", 1).count == 1);
     if (kind == 2) {
       stage.far->reset_at_close();
       stage.far.reset();
     }
     bool is_quiet = true;
-    for (const Moment until = Clock::now() + 5s; is_quiet && Clock::now() < until;) is_quiet = stage.caller->is_quiet();
+    for (const Moment until = Clock::now() + 5s; is_quiet && Clock::now() < until;)
+      is_quiet = stage.caller->is_quiet();
     cr_expect(!is_quiet, "kind %d", kind);
   }
 }
 
-// Held up while connecting, by a lost packet or by standing still: what may leave only until then does not leave later.
+// Held up while connecting, by a lost packet or by standing still: what may leave only until then
+// does not leave later.
 Test(caller, nothing_leaves_after_its_latest_moment) {
   CallerStage stage;
   cr_assert(stage.caller->ask("POST /raise HTTP/1.1\r\n\r\n", false, {}, Clock::now() - 1ms));
   stage.admit();
   cr_assert(stage.reaches([&] { return stage.breakdown != Kind::none; }));
-  cr_expect(stage.breakdown == Kind::deadline_reached && !stage.caller->has_sent() && stage.heard().empty());
+  cr_expect(stage.breakdown == Kind::deadline_reached && !stage.caller->has_sent() &&
+            stage.heard().empty());
 }
--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -5,8 +5,8 @@
 #include "cluster.h"
 #include "coordination/calls.h"
 #include "state/startup.h"
-#include "transport/server.h"
 #include "transport/caller.h"
+#include "transport/server.h"
 
 using namespace saddlewing;
 using tests::Cluster;
@@ -18,12 +18,14 @@
 Json::Value told(const Entry& committed, std::int64_t version, const std::string& body) {
   Json::Value value;
   std::string reason;
-  cr_assert(read_json(acknowledge(committed, Version{version}, digest_of(body)), value, reason), "%s", reason.c_str());
+  cr_assert(read_json(acknowledge(committed, Version{version}, digest_of(body)), value, reason),
+            "%s", reason.c_str());
   return value;
 }
 
 // What the leader would answer to a call just as it was sent.
-Forwarded answer_to(CallTable& leader, const Forward& forward, LifeId asker, Term term, const std::string& body) {
+Forwarded answer_to(CallTable& leader, const Forward& forward, LifeId asker, Term term,
+                    const std::string& body) {
   const std::uint64_t token = leader.add(forward, "asker:1", asker, start + 1s);
   return CallTable::answer(*leader.remove(token), true, term, body);
 }
@@ -34,10 +36,13 @@
   CallTable asker(LifeId{11}), leader(LifeId{22});
   const std::uint64_t change = asker.add(false, Version{7}, "seven", 1, start + 1s);
   const std::uint64_t read = asker.add(true, {}, {}, 2, start + 1s);
-  const Forwarded good = answer_to(leader, asker.send(change, "leader:1", Term{4}), LifeId{11}, Term{4}, "{}");
-  const Forwarded good_read = answer_to(leader, asker.send(read, "leader:1", Term{4}), LifeId{11}, Term{4}, "seven");
+  const Forwarded good =
+      answer_to(leader, asker.send(change, "leader:1", Term{4}), LifeId{11}, Term{4}, "{}");
+  const Forwarded good_read =
+      answer_to(leader, asker.send(read, "leader:1", Term{4}), LifeId{11}, Term{4}, "seven");
   const auto is_passed_over = [&](Forwarded answer, const std::string& from = "leader:1") {
-    return asker.take(answer, from) == 0 && asker.find(change) && asker.find(read) && !asker.find(change)->sent_to.empty() && !asker.find(read)->sent_to.empty();
+    return asker.take(answer, from) == 0 && asker.find(change) && asker.find(read) &&
+           !asker.find(change)->sent_to.empty() && !asker.find(read)->sent_to.empty();
   };
   cr_expect(is_passed_over(good, "other:1"), "another registry");
   Forwarded wrong = good;
@@ -56,28 +61,34 @@
   wrong = good, wrong.is_done = false, wrong.asker = LifeId{10};
   cr_expect(is_passed_over(wrong), "a refusal of another life does not send it again either");
   wrong = good_read, wrong.term = Term{3};
-  cr_expect(is_passed_over(wrong), "a read confirmed in a lower term than was known when it was asked");
+  cr_expect(is_passed_over(wrong),
+            "a read confirmed in a lower term than was known when it was asked");
   cr_expect(asker.take(good, "leader:1") == change && asker.take(good_read, "leader:1") == read);
 }
 
 // Tokens begin at 1 in each life: the order of the former one is answered at the same address.
 Test(calls, the_answer_to_a_former_life_confirms_nothing) {
   CallTable former(LifeId{11}), leader(LifeId{22}), present(LifeId{12});
-  const Forward order = former.send(former.add(false, Version{7}, "seven", 1, start + 1s), "leader:1", Term{4});
-  const Forward same = present.send(present.add(false, Version{7}, "seven", 1, start + 1s), "leader:1", Term{4});
+  const Forward order =
+      former.send(former.add(false, Version{7}, "seven", 1, start + 1s), "leader:1", Term{4});
+  const Forward same =
+      present.send(present.add(false, Version{7}, "seven", 1, start + 1s), "leader:1", Term{4});
   cr_assert(order.token == same.token);
   cr_expect(present.take(answer_to(leader, order, LifeId{11}, Term{4}, "{}"), "leader:1") == 0);
-  cr_expect(present.take(answer_to(leader, same, LifeId{12}, Term{4}, "{}"), "leader:1") == same.token);
+  cr_expect(present.take(answer_to(leader, same, LifeId{12}, Term{4}, "{}"), "leader:1") ==
+            same.token);
 }
 
 Test(calls, a_call_that_was_not_done_is_asked_again) {
   CallTable asker(LifeId{11}), leader(LifeId{22});
   const std::uint64_t token = asker.add(false, Version{7}, "seven", 1, start + 1s);
-  Forwarded refusal = answer_to(leader, asker.send(token, "leader:1", Term{4}), LifeId{11}, Term{4}, "");
+  Forwarded refusal =
+      answer_to(leader, asker.send(token, "leader:1", Term{4}), LifeId{11}, Term{4}, "");
   refusal.is_done = false;
   cr_expect(asker.take(refusal, "leader:1") == token && asker.find(token)->sent_to.empty());
   asker.send(token, "next:1", Term{5});
-  cr_expect(asker.take(refusal, "leader:1") == 0 && asker.find(token)->sent_to == "next:1", "late, it takes nothing from the next");
+  cr_expect(asker.take(refusal, "leader:1") == 0 && asker.find(token)->sent_to == "next:1",
+            "late, it takes nothing from the next");
 }
 
 Test(calls, frames_carry_all_of_it) {
@@ -87,8 +98,9 @@
   ByteReader reader(bytes);
   FrameHead seen;
   cr_assert(decode_head(reader, seen) && seen.kind == FrameKind::forwarded && decode(reader, read));
-  cr_expect(read.token == 5 && read.asker == LifeId{11} && read.is_read && read.version == Version{7} && read.digest == 99 && read.term == Term{4} && read.is_done &&
-            read.body == "body");
+  cr_expect(read.token == 5 && read.asker == LifeId{11} && read.is_read &&
+            read.version == Version{7} && read.digest == 99 && read.term == Term{4} &&
+            read.is_done && read.body == "body");
   Beat beat, heard;
   beat.term = Term{4};
   beat.asker = LifeId{11};
@@ -97,7 +109,8 @@
   const std::string beat_bytes = encode(head, beat);
   ByteReader beat_reader(beat_bytes);
   cr_assert(decode_head(beat_reader, seen) && decode(beat_reader, heard));
-  cr_expect(heard.term == Term{4} && heard.asker == LifeId{11} && heard.token == 6 && heard.hold == 3000);
+  cr_expect(heard.term == Term{4} && heard.asker == LifeId{11} && heard.token == 6 &&
+            heard.hold == 3000);
   Follow follow, followed;
   follow.token = 8;
   follow.echo_life = LifeId{12};
@@ -106,17 +119,20 @@
   const std::string follow_bytes = encode(head, follow);
   ByteReader follow_reader(follow_bytes);
   cr_assert(decode_head(follow_reader, seen) && decode(follow_reader, followed));
-  cr_expect(followed.token == 8 && followed.echo_life == LifeId{12} && followed.echo == 9 && followed.gap == 10);
+  cr_expect(followed.token == 8 && followed.echo_life == LifeId{12} && followed.echo == 9 &&
+            followed.gap == 10);
   EdgeSums sums{Term{4}, {{"north", "counts"}}}, summed;
   const std::string sums_bytes = encode(head, sums);
   ByteReader sums_reader(sums_bytes);
-  cr_expect(decode_head(sums_reader, seen) && decode(sums_reader, summed) && summed.term == Term{4} && summed.regions == sums.regions);
+  cr_expect(decode_head(sums_reader, seen) && decode(sums_reader, summed) &&
+            summed.term == Term{4} && summed.regions == sums.regions);
   EdgeViewFrame view, viewed;
   view.term = Term{4};
   view.in_force = 3;
   const std::string view_bytes = encode(head, view);
   ByteReader view_reader(view_bytes);
-  cr_expect(decode_head(view_reader, seen) && decode(view_reader, viewed) && viewed.term == Term{4} && viewed.in_force == 3);
+  cr_expect(decode_head(view_reader, seen) && decode(view_reader, viewed) &&
+            viewed.term == Term{4} && viewed.in_force == 3);
   for (std::size_t size = 0; size < bytes.size(); ++size) {
     ByteReader cut(std::string_view(bytes).substr(0, size));
     cr_expect(!decode_head(cut, seen) || !decode(cut, read), "cut after %zu bytes", size);
@@ -136,24 +152,33 @@
   orders = note_order(orders, Version{7}, digest_of("seven"));
   entry.sheets[orders_sheet] = orders;
   Json::Value value = told(entry, 7, "seven");
-  cr_expect(value["version"] == 7 && value["changed"] == true && value["taken"] == true && value["superseded"] == false);
+  cr_expect(value["version"] == 7 && value["changed"] == true && value["taken"] == true &&
+            value["superseded"] == false);
   cr_expect(value["digest"].asString().size() == 16);
   cr_expect(told(entry, 7, "seven") == value, "sent again, it is told the same");
   value = told(entry, 7, "other seven");
   cr_expect(value["changed"] == false && value["taken"] == false && value["superseded"] == false);
   value = told(entry, 5, "five");
-  cr_expect(value["changed"] == false && value["taken"] == true && value["superseded"] == true && value["version"] == 7);
+  cr_expect(value["changed"] == false && value["taken"] == true && value["superseded"] == true &&
+            value["version"] == 7);
   cr_expect(told(entry, 5, "other five")["taken"] == false);
-  cr_expect(told(entry, 6, "six")["taken"] == false && told(entry, 6, "six")["superseded"] == true, "passed over");
+  cr_expect(told(entry, 6, "six")["taken"] == false && told(entry, 6, "six")["superseded"] == true,
+            "passed over");
   cr_expect(told(entry, 3, "three")["taken"].isNull(), "before anybody kept it");
   entry.sheets.clear();  // of a store written before there was such a sheet
-  cr_expect(told(entry, 7, "seven")["taken"] == true && told(entry, 7, "other seven")["taken"] == false && told(entry, 5, "five")["taken"].isNull());
-  for (std::int64_t version = 8; version < 2000; ++version) orders = note_order(orders, Version{version}, digest_of(std::to_string(version)));
-  cr_expect(orders.size() < 5000 && find_order(orders, Version{1999}, digest_of("1999")) == Taken::yes && find_order(orders, Version{7}, digest_of("seven")) == Taken::unknown);
+  cr_expect(told(entry, 7, "seven")["taken"] == true &&
+            told(entry, 7, "other seven")["taken"] == false &&
+            told(entry, 5, "five")["taken"].isNull());
+  for (std::int64_t version = 8; version < 2000; ++version)
+    orders = note_order(orders, Version{version}, digest_of(std::to_string(version)));
+  cr_expect(orders.size() < 5000 &&
+            find_order(orders, Version{1999}, digest_of("1999")) == Taken::yes &&
+            find_order(orders, Version{7}, digest_of("seven")) == Taken::unknown);
   cr_expect(find_order("garbage", Version{7}, 0) == Taken::unknown);
 }
 
-// Two operators under one number, at the same moment; then newer ones, a change of leader, all members started again.
+// Two operators under one number, at the same moment; then newer ones, a change of leader, all
+// members started again.
 Test(calls, one_body_under_a_number_whatever_comes_later) {
   Cluster cluster(3);
   cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
@@ -165,9 +190,11 @@
     cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
     cluster.run(500ms);
     for (const std::string& address : cluster.founders()) {
-      if (!cluster.at(address).agreement) continue;
+      if (!cluster.at(address).agreement)
+        continue;
       const Entry& committed = *cluster.at(address).agreement->committed();
-      cr_expect(told(committed, 5, "five")["taken"] == true && told(committed, 5, "other five")["taken"] == false);
+      cr_expect(told(committed, 5, "five")["taken"] == true &&
+                told(committed, 5, "other five")["taken"] == false);
       cr_expect(told(committed, 7, "seven")["changed"] == true);
     }
   };
@@ -176,12 +203,15 @@
   cluster.stop(first);
   check();
   cr_assert(cluster.leader() != first);
-  for (const std::string& address : cluster.founders()) cluster.stop(address);
-  for (const std::string& address : cluster.founders()) cluster.start(address);
+  for (const std::string& address : cluster.founders())
+    cluster.stop(address);
+  for (const std::string& address : cluster.founders())
+    cluster.start(address);
   check();
   const std::uint64_t again = cluster.propose(5, "five");
   const std::string leader = cluster.leader();
-  cr_expect(cluster.run_until([&] { return cluster.is_done(leader, again); }), "it is never refused");
+  cr_expect(cluster.run_until([&] { return cluster.is_done(leader, again); }),
+            "it is never refused");
   check();
 }
 
@@ -191,11 +221,15 @@
  public:
   Quiet() : server(poller, schedule, *this, 16, 1 << 20) {
     for (int port = 30000; port < 60000 && !address.port; ++port)
-      if (!server.open({"127.0.0.1", port})) address = {"127.0.0.1", port};
+      if (!server.open({"127.0.0.1", port}))
+        address = {"127.0.0.1", port};
     server.set_limits({16384, 1 << 20, Span(3000), Span(15000)});
   }
-  void on_request(Visit&, Moment) override { ++requests; }
-  void on_gone(Visit&) override {}
+  void on_request(Visit&, Moment) override {
+    ++requests;
+  }
+  void on_gone(Visit&) override {
+  }
   Poller poller;
   Schedule schedule;
   Server server;
@@ -207,10 +241,16 @@
   bool may = false;
   int asked = 0;
   std::optional<Kind> broke;
-  bool may_send(Caller&, Moment) override { return ++asked, may; }
-  void on_outcome(Caller&, Moment) override {}
-  void on_breakdown(Caller&, Kind kind, Moment) override { broke = kind; }
-  void on_idle_end(Caller&) override {}
+  bool may_send(Caller&, Moment) override {
+    return ++asked, may;
+  }
+  void on_outcome(Caller&, Moment) override {
+  }
+  void on_breakdown(Caller&, Kind kind, Moment) override {
+    broke = kind;
+  }
+  void on_idle_end(Caller&) override {
+  }
 };
 
 }  // namespace
@@ -221,13 +261,16 @@
   Doubter owner;
   Caller caller(quiet.poller, owner, quiet.address, 16384, 65536);
   cr_assert(caller.ask("GET / HTTP/1.1\r\nHost: h\r\n\r\n", false));
-  for (const Moment until = Clock::now() + 5s; Clock::now() < until && !owner.broke;) quiet.poller.poll(Span(5));
+  for (const Moment until = Clock::now() + 5s; Clock::now() < until && !owner.broke;)
+    quiet.poller.poll(Span(5));
   cr_expect(owner.broke == Kind::deadline_reached && !caller.has_sent() && owner.asked == 1);
-  for (int turn = 0; turn < 20; ++turn) quiet.poller.poll(Span(1));
+  for (int turn = 0; turn < 20; ++turn)
+    quiet.poller.poll(Span(1));
   cr_expect(quiet.requests == 0);
   owner.may = true;
   Caller allowed(quiet.poller, owner, quiet.address, 16384, 65536);
   cr_assert(allowed.ask("GET / HTTP/1.1\r\nHost: h\r\n\r\n", false));
-  for (const Moment until = Clock::now() + 5s; Clock::now() < until && !quiet.requests;) quiet.poller.poll(Span(5));
+  for (const Moment until = Clock::now() + 5s; Clock::now() < until && !quiet.requests;)
+    quiet.poller.poll(Span(5));
   cr_expect(quiet.requests == 1);
 }
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -1,5 +1,6 @@
 #pragma once
-// A core of registries in one thread: messages and saves pass through here, under a clock of its own.
+// A core of registries in one thread: messages and saves pass through here, under a clock of its
+// own.
 #include <algorithm>
 #include <deque>
 #include <functional>
@@ -20,7 +21,7 @@
     std::unique_ptr<Agreement> agreement;  // null while down
     Durable disk;                          // what was synced
     bool has_disk = false, is_stuck = false;
-    Span save_time{0};                     // of each save
+    Span save_time{0};  // of each save
     Moment save_due{};
     std::optional<Agreement::Save> pending;
     std::map<std::uint64_t, Agreement::Result> results;
@@ -32,21 +33,35 @@
   };
 
   explicit Cluster(std::size_t count) {
-    for (std::size_t at = 0; at < count; ++at) founders_.push_back("10.0.0." + std::to_string(at + 1) + ":7");
+    for (std::size_t at = 0; at < count; ++at)
+      founders_.push_back("10.0.0." + std::to_string(at + 1) + ":7");
     for (const std::string& address : founders_) {
       auto entry = std::make_shared<Entry>();
-      for (std::size_t at = 0; at < count; ++at) entry->members.push_back({MemberId{at + 1}, founders_[at]});
+      for (std::size_t at = 0; at < count; ++at)
+        entry->members.push_back({MemberId{at + 1}, founders_[at]});
       Node& node = nodes_[address];
       node.address = address;
-      node.disk = {MemberId{static_cast<std::uint64_t>(std::find(founders_.begin(), founders_.end(), address) - founders_.begin()) + 1}, {}, {}, entry};
+      node.disk = {
+          MemberId{static_cast<std::uint64_t>(
+                       std::find(founders_.begin(), founders_.end(), address) - founders_.begin()) +
+                   1},
+          {},
+          {},
+          entry};
       node.has_disk = true;
       start(address);
     }
   }
 
-  Moment now() const { return now_; }
-  Node& at(const std::string& address) { return nodes_[address]; }
-  const std::vector<std::string>& founders() const { return founders_; }
+  Moment now() const {
+    return now_;
+  }
+  Node& at(const std::string& address) {
+    return nodes_[address];
+  }
+  const std::vector<std::string>& founders() const {
+    return founders_;
+  }
 
   void start(const std::string& address) {
     Node& node = nodes_[address];
@@ -62,7 +77,9 @@
     node.pending.reset();
     node.agreement = std::make_unique<Agreement>(node.disk, options, founders_, now_);
   }
-  void stop(const std::string& address) { nodes_[address].agreement.reset(); }
+  void stop(const std::string& address) {
+    nodes_[address].agreement.reset();
+  }
   // With its disk to another address.
   void move(const std::string& from, const std::string& to) {
     stop(from);
@@ -79,20 +96,30 @@
     stop(address);
     nodes_[address].has_disk = false;
   }
-  void cut(const std::string& address) { cut_.insert(address); }
-  void cut_way(const std::string& from, const std::string& to) { cut_ways_.insert({from, to}); }
-  void heal() { cut_.clear(), cut_ways_.clear(); }
+  void cut(const std::string& address) {
+    cut_.insert(address);
+  }
+  void cut_way(const std::string& from, const std::string& to) {
+    cut_ways_.insert({from, to});
+  }
+  void heal() {
+    cut_.clear(), cut_ways_.clear();
+  }
 
   void run(Span span) {
     for (const Moment end = now_ + span; now_ < end; now_ += 5ms) {
       std::vector<Flying> arrived;
       for (auto place = flying_.begin(); place != flying_.end();)
-        if (place->due <= now_) arrived.push_back(std::move(*place)), place = flying_.erase(place);
-        else ++place;
+        if (place->due <= now_)
+          arrived.push_back(std::move(*place)), place = flying_.erase(place);
+        else
+          ++place;
       for (const Flying& flying : arrived)
-        if (Node& node = nodes_[flying.to]; node.agreement) node.agreement->receive(flying.message, now_);
+        if (Node& node = nodes_[flying.to]; node.agreement)
+          node.agreement->receive(flying.message, now_);
       for (auto& [address, node] : nodes_) {
-        if (!node.agreement) continue;
+        if (!node.agreement)
+          continue;
         if (node.pending && !node.is_stuck && now_ >= node.save_due) {
           node.disk = node.pending->durable;
           const std::uint64_t serial = node.pending->serial;
@@ -101,14 +128,16 @@
         }
         node.agreement->tick(now_);
         flush(node);
-        if (node.agreement->has_left()) node.agreement.reset();
+        if (node.agreement->has_left())
+          node.agreement.reset();
       }
     }
   }
   // Until it holds, or not within ten seconds.
   bool run_until(const std::function<bool()>& holds, Span most = Span(10000)) {
     for (const Moment end = now_ + most; now_ < end;) {
-      if (holds()) return true;
+      if (holds())
+        return true;
       run(5ms);
     }
     return holds();
@@ -117,10 +146,13 @@
     std::string found;
     Term newest;
     for (auto& [address, node] : nodes_)
-      if (node.agreement && node.agreement->is_leader() && node.agreement->term() >= newest) found = address, newest = node.agreement->term();
+      if (node.agreement && node.agreement->is_leader() && node.agreement->term() >= newest)
+        found = address, newest = node.agreement->term();
     return found;
   }
-  bool has_leader() { return !leader().empty() && at(leader()).agreement->is_confirmed(now_); }
+  bool has_leader() {
+    return !leader().empty() && at(leader()).agreement->is_confirmed(now_);
+  }
   // The token of a proposal to the leader of the moment.
   std::uint64_t propose(std::int64_t version, const std::string& body) {
     Node& node = at(leader());
@@ -136,21 +168,33 @@
     const Node& node = at(address);
     return node.agreement && node.agreement->committed() ? node.agreement->committed()->body : "";
   }
-  std::function<bool(std::uint64_t, const RaftMessage&)> should_drop = [](std::uint64_t, const RaftMessage&) { return false; };
+  std::function<bool(std::uint64_t, const RaftMessage&)> should_drop = [](std::uint64_t,
+                                                                          const RaftMessage&) {
+    return false;
+  };
   Span way{12};
   std::uint32_t voters = 0;
   std::size_t bytes_per_ms = 0;  // of each way between two; 0: no bound
-  std::uint64_t piece_bytes_sent() const { return piece_bytes_sent_; }
-  std::uint64_t sent() const { return sent_; }
+  std::uint64_t piece_bytes_sent() const {
+    return piece_bytes_sent_;
+  }
+  std::uint64_t sent() const {
+    return sent_;
+  }
 
   void flush(Node& node) {
     Agreement::Output output = node.agreement->take(now_);
-    if (output.save) node.pending = std::move(output.save), node.save_due = now_ + node.save_time;
-    for (auto& result : output.results) node.results[result.token] = result;
+    if (output.save)
+      node.pending = std::move(output.save), node.save_due = now_ + node.save_time;
+    for (auto& result : output.results)
+      node.results[result.token] = result;
     for (auto& outgoing : output.messages) {
       const std::uint64_t number = ++sent_;
-      if (cut_.contains(node.address) || cut_.contains(outgoing.to) || cut_ways_.contains({node.address, outgoing.to}) || should_drop(number, outgoing.message)) continue;
-      flying_.push_back({leaves_at(node.address, outgoing) + way, outgoing.to, std::move(outgoing.message)});
+      if (cut_.contains(node.address) || cut_.contains(outgoing.to) ||
+          cut_ways_.contains({node.address, outgoing.to}) || should_drop(number, outgoing.message))
+        continue;
+      flying_.push_back(
+          {leaves_at(node.address, outgoing) + way, outgoing.to, std::move(outgoing.message)});
     }
   }
 
@@ -159,7 +203,8 @@
   Moment leaves_at(const std::string& from, const Agreement::Outgoing& outgoing) {
     const std::size_t bytes = outgoing.message.piece ? outgoing.message.piece->bytes.size() : 0;
     piece_bytes_sent_ += bytes;
-    if (!bytes_per_ms) return now_;
+    if (!bytes_per_ms)
+      return now_;
     Moment& free = free_[{from, outgoing.to}];
     free = std::max(free, now_) + std::chrono::microseconds((bytes + 200) * 1000 / bytes_per_ms);
     return free;
--- a/tests/core_status_test.cpp
+++ b/tests/core_status_test.cpp
@@ -8,10 +8,14 @@
 
 namespace {
 
-CoreStatus status_of(Cluster& cluster, const std::string& address) { return cluster.at(address).agreement->status(cluster.now()); }
+CoreStatus status_of(Cluster& cluster, const std::string& address) {
+  return cluster.at(address).agreement->status(cluster.now());
+}
 
 const CoreStatus::Peer* peer_at(const CoreStatus& status, const std::string& address) {
-  const auto found = std::find_if(status.peers.begin(), status.peers.end(), [&](const CoreStatus::Peer& peer) { return peer.address == address; });
+  const auto found =
+      std::find_if(status.peers.begin(), status.peers.end(),
+                   [&](const CoreStatus::Peer& peer) { return peer.address == address; });
   return found == status.peers.end() ? nullptr : &*found;
 }
 
@@ -24,7 +28,8 @@
 Test(core_status, a_leader_tells_who_is_behind_and_who_learns) {
   Cluster cluster(3);
   cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
-  const std::string leader = cluster.leader(), away = other_than(cluster, leader), learner = "10.0.0.9:7";
+  const std::string leader = cluster.leader(), away = other_than(cluster, leader),
+                    learner = "10.0.0.9:7";
   const std::uint64_t first = cluster.propose(1, "one");
   cr_assert(cluster.run_until([&] { return cluster.is_done(leader, first); }));
   cluster.start(learner);
@@ -36,16 +41,20 @@
   }
   cluster.run(400ms);
   const CoreStatus status = status_of(cluster, leader);
-  cr_expect(status.role == CoreStatus::Role::leader && status.is_confirmed && status.is_voter && status.leader == leader);
-  cr_expect(status.has_committed && status.version == Version{4} && status.committed == status.last && status.committed_term == status.term);
+  cr_expect(status.role == CoreStatus::Role::leader && status.is_confirmed && status.is_voter &&
+            status.leader == leader);
+  cr_expect(status.has_committed && status.version == Version{4} &&
+            status.committed == status.last && status.committed_term == status.term);
   cr_expect_eq(status.core_size, 3u);
   cr_assert_eq(status.peers.size(), 4u);
-  const CoreStatus::Peer *self = peer_at(status, leader), *behind = peer_at(status, away), *learning = peer_at(status, learner);
+  const CoreStatus::Peer *self = peer_at(status, leader), *behind = peer_at(status, away),
+                         *learning = peer_at(status, learner);
   cr_assert(self && behind && learning);
   cr_expect(self->id == status.self && self->is_voter && self->is_matched);
   cr_expect(behind->is_voter && behind->is_known && !behind->is_matched && behind->heard >= 400);
   cr_expect_eq(behind->behind, 3u);
-  cr_expect(!learning->is_voter && learning->is_matched && learning->heard < 200 && learning->behind == 0);
+  cr_expect(!learning->is_voter && learning->is_matched && learning->heard < 200 &&
+            learning->behind == 0);
 }
 
 Test(core_status, one_cut_off_says_so_and_the_rest_stand_confirmed) {
@@ -60,7 +69,8 @@
   cr_expect(!alone.is_confirmed && alone.role != CoreStatus::Role::leader && alone.leader.empty());
   cr_expect(alone.has_committed && alone.version == Version{1});
   for (const std::string& address : cluster.founders()) {
-    if (address == former) continue;
+    if (address == former)
+      continue;
     const CoreStatus status = status_of(cluster, address);
     cr_expect(status.is_confirmed && status.leader == cluster.leader() && status.term > alone.term);
   }
@@ -72,9 +82,11 @@
   const std::string leader = cluster.leader();
   cluster.run(500ms);
   const CoreStatus status = status_of(cluster, other_than(cluster, leader));
-  cr_expect(status.role == CoreStatus::Role::follower && status.leader == leader && status.leader_heard < 200);
+  cr_expect(status.role == CoreStatus::Role::follower && status.leader == leader &&
+            status.leader_heard < 200);
   cr_expect(status.last == status.leader_last);
-  for (const CoreStatus::Peer& peer : status.peers) cr_expect(peer.is_voter && peer.is_known == (peer.id == status.self));
+  for (const CoreStatus::Peer& peer : status.peers)
+    cr_expect(peer.is_voter && peer.is_known == (peer.id == status.self));
 }
 
 Test(core_status, a_disk_that_fails_or_is_stuck_is_told) {
@@ -108,19 +120,23 @@
   status.core_size = 3;
   status.is_confirmed = true;
   status.saving = 12;
-  status.peers = {{MemberId{1}, "10.0.0.1:7", true, true, true, 0, 0}, {MemberId{2}, "10.0.0.2:7", false, true, false, 40, 5}};
+  status.peers = {{MemberId{1}, "10.0.0.1:7", true, true, true, 0, 0},
+                  {MemberId{2}, "10.0.0.2:7", false, true, false, 40, 5}};
   const FrameHead from{FrameKind::core_status, LifeId{9}, "10.0.0.1:7"};
   const std::string bytes = encode(from, status);
   const auto is_read = [](std::string_view frame) {
     ByteReader reader(frame);
     FrameHead head;
     CoreStatus read;
-    return decode_head(reader, head) && head.kind == FrameKind::core_status && decode(reader, read) && read.node == "registry-1" && read.version == Version{9} &&
-           read.is_confirmed && read.saving == 12 && read.peers.size() == 2 && read.peers[1].behind == 5 && !read.peers[1].is_voter;
+    return decode_head(reader, head) && head.kind == FrameKind::core_status &&
+           decode(reader, read) && read.node == "registry-1" && read.version == Version{9} &&
+           read.is_confirmed && read.saving == 12 && read.peers.size() == 2 &&
+           read.peers[1].behind == 5 && !read.peers[1].is_voter;
   };
   cr_expect(is_read(bytes));
   cr_expect(!is_read(bytes + "x"));
-  for (std::size_t size = 0; size < bytes.size(); ++size) cr_expect(!is_read(std::string_view(bytes).substr(0, size)));
+  for (std::size_t size = 0; size < bytes.size(); ++size)
+    cr_expect(!is_read(std::string_view(bytes).substr(0, size)));
   status.role = static_cast<CoreStatus::Role>(4);
   cr_expect(!is_read(encode(from, status)));
 }
--- a/tests/edges_test.cpp
+++ b/tests/edges_test.cpp
@@ -1,4 +1,5 @@
-// The shared view of edges, replayed with a clock of its own: many brokers in three regions, an edge that gets slow for one.
+// The shared view of edges, replayed with a clock of its own: many brokers in three regions, an
+// edge that gets slow for one.
 #include <criterion/criterion.h>
 
 #include <algorithm>
@@ -17,7 +18,12 @@
 const std::vector<std::string> zones = {"north-a", "middle-a", "south-a"};
 
 struct Day {
-  enum class Fate { none, lost, doubled, late };
+  enum class Fate {
+    none,
+    lost,
+    doubled,
+    late
+  };
   struct Broker {
     std::string region;
     EdgeGate gate;
@@ -28,10 +34,11 @@
   };
   // Options.
   EdgeOptions options;
-  double slow_ms = 120;             // what north-a takes for the south beyond the usual, while it is slow
+  double slow_ms = 120;  // what north-a takes for the south beyond the usual, while it is slow
   Moment slow_from = morning + 10s, slow_until = morning + 30s;
   Span length{45000};
-  bool has_view = true, has_common_turn = true, is_noisy = false, has_heavy = false, is_slow_in_turns = false;
+  bool has_view = true, has_common_turn = true, is_noisy = false, has_heavy = false,
+       is_slow_in_turns = false;
   Fate fate = Fate::none;
   int fated = -1;
   Moment leader_dies{};
@@ -49,30 +56,43 @@
   std::map<std::string, int> load;
   unsigned state = 3;
 
-  unsigned draw() { return state = state * 1664525u + 1013904223u, state >> 8; }
+  unsigned draw() {
+    return state = state * 1664525u + 1013904223u, state >> 8;
+  }
   void start(int per_region) {
     options.is_on = true;
     for (const std::string& region : regions)
       for (int number = 0; number < per_region; ++number)
-        brokers.push_back({region, EdgeGate(region, draw(), options), EdgeCounts(256), morning + Span(draw() % 400), {}, {0, 0, 0}, {}, {}});
+        brokers.push_back({region,
+                           EdgeGate(region, draw(), options),
+                           EdgeCounts(256),
+                           morning + Span(draw() % 400),
+                           {},
+                           {0, 0, 0},
+                           {},
+                           {}});
     held.resize(brokers.size());
     judge = std::make_unique<EdgeJudge>(options);
     rollout = std::make_unique<Rollout>(options.most_wait);
   }
   bool is_slow(std::size_t zone, const std::string& region) const {
-    if (is_slow_in_turns) return zone == static_cast<std::size_t>((now - morning) / 700ms) % 3;
+    if (is_slow_in_turns)
+      return zone == static_cast<std::size_t>((now - morning) / 700ms) % 3;
     return zone == 0 && region == "south" && now >= slow_from && now < slow_until;
   }
-  // A broker's own pick: near first; the view orders, and its own view of the edges when there is no other.
+  // A broker's own pick: near first; the view orders, and its own view of the edges when there is
+  // no other.
   void ask(Broker& broker) {
-    const std::size_t own = static_cast<std::size_t>(std::find(regions.begin(), regions.end(), broker.region) - regions.begin());
+    const std::size_t own = static_cast<std::size_t>(
+        std::find(regions.begin(), regions.end(), broker.region) - regions.begin());
     std::size_t best = 0;
     double best_cost = 1e12;
     bool is_trial = false;
     for (std::size_t zone = 0; zone < zones.size(); ++zone) {
       // The south's own edge is busy, so that it is served from the north as well.
       double cost = (zone == own ? 10 : 14) + draw() % 12;
-      if (broker.region == "south" && zone == 0) cost -= 6;
+      if (broker.region == "south" && zone == 0)
+        cost -= 6;
       if (has_view) {
         const auto standing = broker.gate.standing("index", zones[zone], brokers.size() / 3);
         if (standing.verdict == EdgeState::Verdict::avoided) {
@@ -85,64 +105,88 @@
       } else if (broker.own_ms[zone] > 60) {
         cost += 5000;
       }
-      if (cost < best_cost) best_cost = cost, best = zone;
+      if (cost < best_cost)
+        best_cost = cost, best = zone;
     }
     const int id = ++next_id;
     ++ran[id];
     ++load[zones[best]];
     const bool is_heavy = has_heavy && id % 5 == 0;
     double took = 6 + draw() % 10 + (best == own ? 0 : 8);
-    if (is_heavy) took += 150;
-    if (is_noisy) took += draw() % 100 < 8 ? 60 : draw() % 12;
-    if (is_slow(best, broker.region)) took += slow_ms;
+    if (is_heavy)
+      took += 150;
+    if (is_noisy)
+      took += draw() % 100 < 8 ? 60 : draw() % 12;
+    if (is_slow(best, broker.region))
+      took += slow_ms;
     if (broker.region == "south" && best == 0 && !is_trial) {
-      if (broker.first_back == Moment{} && now > slow_until) broker.first_back = now;
+      if (broker.first_back == Moment{} && now > slow_until)
+        broker.first_back = now;
     }
-    if (best != 0 && now > slow_from + 4s && now < slow_until) ++asked_elsewhere, late_elsewhere += took > 60;
+    if (best != 0 && now > slow_from + 4s && now < slow_until)
+      ++asked_elsewhere, late_elsewhere += took > 60;
     broker.own_ms[best] = broker.own_ms[best] == 0 ? took : broker.own_ms[best] * 0.9 + took * 0.1;
-    broker.counts.add({"index", zones[best], is_heavy ? EdgeClass::heavy : EdgeClass::light}, took, false);
+    broker.counts.add({"index", zones[best], is_heavy ? EdgeClass::heavy : EdgeClass::light}, took,
+                      false);
+  }
+  Fate meet() {
+    return messages++ == fated ? fate : Fate::none;
   }
-  Fate meet() { return messages++ == fated ? fate : Fate::none; }
   void follow(std::size_t place) {
     Broker& broker = brokers[place];
     broker.due = now + 400ms;
     std::string counts = broker.counts.take();
     const Fate met = meet();
-    if (met == Fate::lost || now < leaderless_until) return;
+    if (met == Fate::lost || now < leaderless_until)
+      return;
     for (int times = met == Fate::doubled ? 2 : 1; times > 0; --times)
-      if (!counts.empty()) judge->add(broker.region, counts, now);
+      if (!counts.empty())
+        judge->add(broker.region, counts, now);
     held[place] = broker.gate.held();
-    if (met != Fate::late) tell(broker);  // a late beat is an old one: it brings nothing new
+    if (met != Fate::late)
+      tell(broker);  // a late beat is an old one: it brings nothing new
   }
   void tell(Broker& broker) {
-    if (now < broker.cut_until) return;
+    if (now < broker.cut_until)
+      return;
     if (broker.gate.held() < judge->view()->mark) {
       auto view = std::make_shared<EdgeView>();
       cr_assert(decode_view(encode_view(*judge->view()), *view));
       broker.gate.take(view);
       held[static_cast<std::size_t>(&broker - brokers.data())] = broker.gate.held();
     }
-    broker.gate.see_in_force(has_common_turn ? static_cast<std::uint64_t>(rollout->in_force().value) : broker.gate.held(), now);
+    broker.gate.see_in_force(has_common_turn ? static_cast<std::uint64_t>(rollout->in_force().value)
+                                             : broker.gate.held(),
+                             now);
   }
   void lead() {
-    if (now < leaderless_until) return;
+    if (now < leaderless_until)
+      return;
     std::vector<Version> holds;
-    for (const std::uint64_t mark : held) holds.push_back(Version{static_cast<std::int64_t>(mark)});
+    for (const std::uint64_t mark : held)
+      holds.push_back(Version{static_cast<std::int64_t>(mark)});
     if (rollout->advance(holds, now) != Rollout::Turn::none)
-      for (Broker& broker : brokers) tell(broker);
-    if (now - judged < 400ms) return;
+      for (Broker& broker : brokers)
+        tell(broker);
+    if (now - judged < 400ms)
+      return;
     judged = now;
     std::map<EdgeJudge::Edge, double> capacity;
-    for (const std::string& zone : zones) capacity[{"index", zone}] = 40;
+    for (const std::string& zone : zones)
+      capacity[{"index", zone}] = 40;
     const EdgeSnapshot view = judge->judge(term, capacity, now);
-    if (!view) return;
+    if (!view)
+      return;
     ++turns;
-    if (decided == Moment{} && now >= slow_from) decided = now;
+    if (decided == Moment{} && now >= slow_from)
+      decided = now;
     rollout->commit(Version{static_cast<std::int64_t>(view->mark)}, now);
     // The view goes out at once; half of the brokers get it with their next follow alone.
     for (std::size_t place = 0; place < brokers.size(); place += 2) {
-      if (has_common_turn) tell(brokers[place]);
-      else brokers[place].gate.take(view), brokers[place].gate.see_in_force(view->mark, now);
+      if (has_common_turn)
+        tell(brokers[place]);
+      else
+        brokers[place].gate.take(view), brokers[place].gate.see_in_force(view->mark, now);
     }
   }
   void die() {
@@ -152,34 +196,45 @@
     rollout = std::make_unique<Rollout>(options.most_wait);
     ++term;
     leaderless_until = now + 1s;
-    if (!does_new_leader_know) return;
+    if (!does_new_leader_know)
+      return;
     judge->take(known, now);
     judge->take_ways(ways);
-    if (known->mark) rollout->commit(Version{static_cast<std::int64_t>(known->mark)}, now);
+    if (known->mark)
+      rollout->commit(Version{static_cast<std::int64_t>(known->mark)}, now);
   }
   void run() {
     while (now < morning + length) {
       now += 5ms;
-      if (leader_dies != Moment{} && now >= leader_dies) leader_dies = Moment{}, die();
+      if (leader_dies != Moment{} && now >= leader_dies)
+        leader_dies = Moment{}, die();
       lead();
       for (std::size_t place = 0; place < brokers.size(); ++place) {
-        if (now >= brokers[place].due) follow(place);
-        if (draw() % 24 == 0) ask(brokers[place]);
+        if (now >= brokers[place].due)
+          follow(place);
+        if (draw() % 24 == 0)
+          ask(brokers[place]);
         note_stop(brokers[place]);
       }
     }
   }
   // Whether a broker has turned away from the slow edge, and when.
   void note_stop(Broker& broker) {
-    if (broker.region != "south" || now < slow_from || broker.stopped != Moment{}) return;
-    const bool has_stopped = has_view ? broker.gate.standing("index", zones[0], 1).verdict == EdgeState::Verdict::avoided : broker.own_ms[0] > 60;
-    if (has_stopped) broker.stopped = now;
+    if (broker.region != "south" || now < slow_from || broker.stopped != Moment{})
+      return;
+    const bool has_stopped =
+        has_view ? broker.gate.standing("index", zones[0], 1).verdict == EdgeState::Verdict::avoided
+                 : broker.own_ms[0] > 60;
+    if (has_stopped)
+      broker.stopped = now;
   }
   // Between the first and the last broker of the south that stops sending there.
   Span spread() const {
     Moment first = Moment::max(), last{};
     for (const Broker& broker : brokers)
-      if (broker.region == "south") first = std::min(first, broker.stopped), last = std::max(last, broker.stopped == Moment{} ? now : broker.stopped);
+      if (broker.region == "south")
+        first = std::min(first, broker.stopped),
+        last = std::max(last, broker.stopped == Moment{} ? now : broker.stopped);
     return span_between(first, last);
   }
   void run_until_slow_ends() {
@@ -196,19 +251,27 @@
   alone.has_view = false;
   shared.run_until_slow_ends(), alone.run_until_slow_ends();
   const Span decision = span_between(shared.slow_from, shared.decided);
-  std::printf("edges: decided %lld ms after the slowdown; last stop of the south's brokers %lld ms apart, each by itself %lld ms apart; %d of %d late elsewhere\n",
-              static_cast<long long>(decision.count()), static_cast<long long>(shared.spread().count()), static_cast<long long>(alone.spread().count()),
-              shared.late_elsewhere, shared.asked_elsewhere);
+  std::printf(
+      "edges: decided %lld ms after the slowdown; last stop of the south's brokers %lld ms apart, "
+      "each by itself %lld ms apart; %d of %d late elsewhere\n",
+      static_cast<long long>(decision.count()), static_cast<long long>(shared.spread().count()),
+      static_cast<long long>(alone.spread().count()), shared.late_elsewhere,
+      shared.asked_elsewhere);
   cr_expect(shared.decided != Moment{} && decision < 4s);
   cr_expect(shared.spread() <= 10ms, "%lld", static_cast<long long>(shared.spread().count()));
   cr_expect(alone.spread() > 500ms);
-  for (const auto& [id, times] : shared.ran) cr_assert(times == 1, "none lost, none sent twice");
-  cr_expect(shared.late_elsewhere * 50 < shared.asked_elsewhere, "those that take the load stay within their aim");
+  for (const auto& [id, times] : shared.ran)
+    cr_assert(times == 1, "none lost, none sent twice");
+  cr_expect(shared.late_elsewhere * 50 < shared.asked_elsewhere,
+            "those that take the load stay within their aim");
   cr_expect(shared.turns <= 3, "%d", shared.turns);
   shared.length = Span(45000);
   shared.run();
-  cr_expect(shared.judge->view()->states.empty() || shared.judge->view()->find("index", "north-a", "south") == nullptr, "it serves the south again");
-  for (const Day::Broker& broker : shared.brokers) cr_expect(broker.region != "south" || broker.first_back > shared.slow_until);
+  cr_expect(shared.judge->view()->states.empty() ||
+                shared.judge->view()->find("index", "north-a", "south") == nullptr,
+            "it serves the south again");
+  for (const Day::Broker& broker : shared.brokers)
+    cr_expect(broker.region != "south" || broker.first_back > shared.slow_until);
   cr_expect(shared.turns <= 6, "%d", shared.turns);
 }
 
@@ -217,7 +280,8 @@
   day.has_common_turn = false;
   day.start(20);
   day.run_until_slow_ends();
-  cr_expect(day.spread() > 200ms, "the check above can fail: %lld", static_cast<long long>(day.spread().count()));
+  cr_expect(day.spread() > 200ms, "the check above can fail: %lld",
+            static_cast<long long>(day.spread().count()));
 }
 
 Test(edges, noise_heavy_requests_and_an_edge_slow_in_turns_change_little) {
@@ -228,11 +292,13 @@
     day.start(10);
     day.run();
     cr_expect(day.turns <= (kind == 2 ? 27 : 1), "kind %d: %d turns", kind, day.turns);
-    for (const auto& [zone, count] : day.load) cr_expect(count > 0);
+    for (const auto& [zone, count] : day.load)
+      cr_expect(count > 0);
   }
   Day nervous;  // without the hysteresis
   nervous.options.least_stay = Span(0);
-  nervous.options.avoid_times = 1.05, nervous.options.return_times = 1.04, nervous.options.least_samples = 2, nervous.options.least_trials = 1;
+  nervous.options.avoid_times = 1.05, nervous.options.return_times = 1.04,
+  nervous.options.least_samples = 2, nervous.options.least_trials = 1;
   nervous.options.half_life = Span(300);
   nervous.is_slow_in_turns = true;
   nervous.start(10);
@@ -247,7 +313,8 @@
       day.fate = fate, day.fated = fated;
       day.start(4);
       day.run_until_slow_ends();
-      cr_expect(day.decided != Moment{} && day.spread() <= Span(1200), "message %d: %lld", fated, static_cast<long long>(day.spread().count()));
+      cr_expect(day.decided != Moment{} && day.spread() <= Span(1200), "message %d: %lld", fated,
+                static_cast<long long>(day.spread().count()));
     }
   for (const bool does_know : {true, false})
     for (const Span after : {Span(500), Span(1500), Span(2500), Span(4000), Span(8000)}) {
@@ -256,8 +323,10 @@
       day.does_new_leader_know = does_know;
       day.start(10);
       day.run_until_slow_ends();
-      cr_expect(day.judge->view()->find("index", "north-a", "south") != nullptr, "dies after %lld", static_cast<long long>(after.count()));
-      for (const auto& [id, times] : day.ran) cr_assert(times == 1);
+      cr_expect(day.judge->view()->find("index", "north-a", "south") != nullptr, "dies after %lld",
+                static_cast<long long>(after.count()));
+      for (const auto& [id, times] : day.ran)
+        cr_assert(times == 1);
     }
 }
 
@@ -269,8 +338,10 @@
   view->states.push_back({"index", "north-a", "south", EdgeState::Verdict::avoided, 0, ""});
   cr_expect(gate.take(view) && gate.serving()->mark == 0, "it waits for its turn");
   gate.see_in_force(5, morning);
-  cr_expect(gate.serving()->mark == 5 && gate.standing("index", "north-a", 100).verdict == EdgeState::Verdict::avoided);
-  cr_expect(gate.influence(morning + options.fade / 2) == 1 && gate.influence(morning + options.fade) == 0);
+  cr_expect(gate.serving()->mark == 5 &&
+            gate.standing("index", "north-a", 100).verdict == EdgeState::Verdict::avoided);
+  cr_expect(gate.influence(morning + options.fade / 2) == 1 &&
+            gate.influence(morning + options.fade) == 0);
   cr_expect(!gate.take(std::make_shared<EdgeView>()), "an older view changes nothing");
   gate.see_in_force(3, morning + 9s);
   cr_expect(gate.influence(morning + options.fade) == 0, "nor does a word of an older one");
@@ -286,20 +357,26 @@
       EdgeCounts counts(16);
       for (std::size_t zone = 0; zone < count; ++zone) {
         capacity[{"index", zones[zone]}] = slots;
-        for (int times = 0; times < 20; ++times) counts.add({"index", zones[zone], EdgeClass::light}, zone + 1 < count ? 400 : 12, false);
+        for (int times = 0; times < 20; ++times)
+          counts.add({"index", zones[zone], EdgeClass::light}, zone + 1 < count ? 400 : 12, false);
       }
       judge.add("south", counts.take(), now);
-      if (auto next = judge.judge(1, capacity, now)) view = next;
+      if (auto next = judge.judge(1, capacity, now))
+        view = next;
     }
     return view;
   };
   const EdgeSnapshot roomy = judge(40, 3), narrow = judge(2.5, 2);
   cr_assert(roomy && narrow);
-  const auto avoided = std::count_if(roomy->states.begin(), roomy->states.end(), [](const EdgeState& state) { return state.verdict == EdgeState::Verdict::avoided; });
+  const auto avoided = std::count_if(
+      roomy->states.begin(), roomy->states.end(),
+      [](const EdgeState& state) { return state.verdict == EdgeState::Verdict::avoided; });
   cr_expect(avoided == 2, "the one that is well stays");
   const EdgeState* part = narrow->find("index", zones[0], "south");
   cr_assert(part);
-  cr_expect(part->verdict == EdgeState::Verdict::allowed && part->percent_kept > 0 && part->percent_kept < 100, "%d", static_cast<int>(part->percent_kept));
+  cr_expect(part->verdict == EdgeState::Verdict::allowed && part->percent_kept > 0 &&
+                part->percent_kept < 100,
+            "%d", static_cast<int>(part->percent_kept));
 }
 
 Test(edges, frames_that_cannot_be_are_dropped_whole) {
@@ -320,7 +397,9 @@
   impossible.times[3] = 1;
   impossible.failures = 2;
   EdgeJudge judge{EdgeOptions{}};
-  cr_expect(!judge.add("south", encode_edges({{EdgeName{"index", "north-a", EdgeClass::light}, impossible}}), morning));
+  cr_expect(!judge.add("south",
+                       encode_edges({{EdgeName{"index", "north-a", EdgeClass::light}, impossible}}),
+                       morning));
   EdgeCounts full(1);
   full.add({"a", "x", EdgeClass::light}, 1, false);
   full.add({"b", "x", EdgeClass::light}, 1, false);
@@ -330,5 +409,6 @@
   view.states.push_back({"index", "north-a", "south", EdgeState::Verdict::avoided, 0, "slow"});
   const std::string text = encode_view(view);
   cr_expect(decode_view(text, read) && read.find("index", "north-a", "south"));
-  for (std::size_t size = 0; size < text.size(); ++size) cr_expect(!decode_view(text.substr(0, size), read));
+  for (std::size_t size = 0; size < text.size(); ++size)
+    cr_expect(!decode_view(text.substr(0, size), read));
 }
--- a/tests/entry_change_test.cpp
+++ b/tests/entry_change_test.cpp
@@ -1,4 +1,5 @@
-// Entries on their way: pieces, bases, digests; members that catch up while large changes follow each other.
+// Entries on their way: pieces, bases, digests; members that catch up while large changes follow
+// each other.
 #include <criterion/criterion.h>
 
 #include "cluster.h"
@@ -8,13 +9,15 @@
 
 namespace {
 
-EntrySnapshot entry_of(std::uint64_t index, const std::string& body, const std::string& sheet = {}) {
+EntrySnapshot entry_of(std::uint64_t index, const std::string& body,
+                       const std::string& sheet = {}) {
   auto entry = std::make_shared<Entry>();
   entry->term = {4};
   entry->index = {index};
   entry->version = {static_cast<std::int64_t>(index)};
   entry->body = body;
-  if (!sheet.empty()) entry->sheets["ring"] = sheet;
+  if (!sheet.empty())
+    entry->sheets["ring"] = sheet;
   entry->members = {{MemberId{5}, "10.0.0.1:7"}};
   entry->former = {{MemberId{6}, "10.0.0.2:7"}};
   entry->core_size = 3;
@@ -25,7 +28,8 @@
 std::string noise(std::size_t size, std::uint64_t seed) {
   std::mt19937_64 draw(seed);
   std::string text(size, ' ');
-  for (char& letter : text) letter = static_cast<char>('!' + draw() % 90);
+  for (char& letter : text)
+    letter = static_cast<char>('!' + draw() % 90);
   return text;
 }
 
@@ -33,7 +37,8 @@
 std::string large_body(std::size_t size, std::int64_t version) {
   static std::map<std::size_t, std::string> made;
   std::string& body = made[size];
-  if (body.empty()) body = noise(size, size);
+  if (body.empty())
+    body = noise(size, size);
   std::string changed = body;
   const std::string number = "route-" + std::to_string(version) + ";";
   changed.replace(size / 2, number.size(), number);
@@ -41,17 +46,21 @@
 }
 
 bool is_same(const Entry& left, const Entry& right) {
-  return left.term == right.term && left.index == right.index && left.version == right.version && left.body == right.body && left.sheets == right.sheets &&
-         left.members == right.members && left.former == right.former && left.core_size == right.core_size;
+  return left.term == right.term && left.index == right.index && left.version == right.version &&
+         left.body == right.body && left.sheets == right.sheets && left.members == right.members &&
+         left.former == right.former && left.core_size == right.core_size;
 }
 
 }  // namespace
 
 Test(entry_change, only_what_differs_travels) {
-  const auto before = content_of(entry_of(7, large_body(300000, 7), "sheet")), after = content_of(entry_of(8, large_body(300000, 8), "other sheet"));
+  const auto before = content_of(entry_of(7, large_body(300000, 7), "sheet")),
+             after = content_of(entry_of(8, large_body(300000, 8), "other sheet"));
   const auto change = make_change(*after, before.get());
-  cr_expect(change->bytes.size() < 64, "two places, in the configuration and in a sheet: what differs travels, no more");
-  const auto sheet_alone = make_change(*content_of(entry_of(8, large_body(300000, 7), "other")), before.get());
+  cr_expect(change->bytes.size() < 64,
+            "two places, in the configuration and in a sheet: what differs travels, no more");
+  const auto sheet_alone =
+      make_change(*content_of(entry_of(8, large_body(300000, 7), "other")), before.get());
   cr_expect(sheet_alone->bytes.size() < 64);
   EntryAssembly assembly;
   EntrySnapshot entry;
@@ -77,32 +86,44 @@
       bool is_whole = false;
       for (std::size_t at = 0; at < count; ++at) {
         EntryPiece piece = change->piece(at * piece_bytes);
-        if (at == place && strike == 0) continue;                                      // lost
-        if (at == place && strike == 1) last = assembly.take(piece, next->entry, entry);  // doubled
-        if (at == place && strike == 2) piece.bytes[piece.bytes.size() / 2] ^= 1;         // damaged
-        if (at == place && strike == 3) piece.bytes.pop_back();                           // ends early
-        if (at == place && strike == 4) piece.offset += 1;
+        if (at == place && strike == 0)
+          continue;  // lost
+        if (at == place && strike == 1)
+          last = assembly.take(piece, next->entry, entry);  // doubled
+        if (at == place && strike == 2)
+          piece.bytes[piece.bytes.size() / 2] ^= 1;  // damaged
+        if (at == place && strike == 3)
+          piece.bytes.pop_back();  // ends early
+        if (at == place && strike == 4)
+          piece.offset += 1;
         last = assembly.take(piece, next->entry, entry);
-        if (!entry) continue;
+        if (!entry)
+          continue;
         is_whole = true;
         cr_expect(is_same(*entry, *next->entry));
       }
       cr_expect(is_whole == (strike == 1), "piece %zu, strike %d", place, strike);
-      if (strike == 2) cr_expect(last == EntryAssembly::Step::unusable && assembly.mismatches() == 1);
+      if (strike == 2)
+        cr_expect(last == EntryAssembly::Step::unusable && assembly.mismatches() == 1);
     }
 }
 
 Test(entry_change, one_that_builds_on_another_entry_is_asked_for_whole) {
-  const auto base = content_of(entry_of(7, "seven, seven")), next = content_of(entry_of(8, "seven, eight"));
+  const auto base = content_of(entry_of(7, "seven, seven")),
+             next = content_of(entry_of(8, "seven, eight"));
   EntryAssembly assembly;
   EntrySnapshot entry;
-  cr_expect(assembly.take(make_change(*next, base.get())->piece(0), entry_of(6, "six"), entry) == EntryAssembly::Step::unusable);
+  cr_expect(assembly.take(make_change(*next, base.get())->piece(0), entry_of(6, "six"), entry) ==
+            EntryAssembly::Step::unusable);
   // The same term and index, and yet another content: the digest tells.
-  cr_expect(assembly.take(make_change(*next, base.get())->piece(0), entry_of(7, "never, seven"), entry) == EntryAssembly::Step::unusable);
-  cr_expect(assembly.take(make_change(*next, nullptr)->piece(0), entry_of(6, "six"), entry) == EntryAssembly::Step::whole);
+  cr_expect(assembly.take(make_change(*next, base.get())->piece(0), entry_of(7, "never, seven"),
+                          entry) == EntryAssembly::Step::unusable);
+  cr_expect(assembly.take(make_change(*next, nullptr)->piece(0), entry_of(6, "six"), entry) ==
+            EntryAssembly::Step::whole);
 }
 
-// A follower says that it holds an entry before its disk has it, and its process ends there: the leader sends it again.
+// A follower says that it holds an entry before its disk has it, and its process ends there: the
+// leader sends it again.
 Test(entry_change, an_entry_that_ended_with_the_process_before_its_sync_is_sent_again) {
   Cluster cluster(3);
   cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
@@ -110,7 +131,8 @@
   const std::string leader = cluster.leader();
   std::vector<std::string> others;
   for (const std::string& founder : cluster.founders())
-    if (founder != leader) others.push_back(founder);
+    if (founder != leader)
+      others.push_back(founder);
   cluster.at(others[0]).is_stuck = true;
   cluster.stop(others[1]);
   const std::uint64_t token = cluster.propose(7, "seven");
@@ -118,10 +140,13 @@
   cluster.stop(others[0]);
   cluster.at(others[0]).is_stuck = false;
   cluster.start(others[0]);
-  cr_expect(cluster.run_until([&] { return cluster.is_done(leader, token) && cluster.body_at(others[0]) == "seven"; }, 1000ms));
+  cr_expect(cluster.run_until(
+      [&] { return cluster.is_done(leader, token) && cluster.body_at(others[0]) == "seven"; },
+      1000ms));
 }
 
-// What a follower holds has rotted under the same term and index: a difference never matches there, so it gets the whole.
+// What a follower holds has rotted under the same term and index: a difference never matches there,
+// so it gets the whole.
 Test(entry_change, a_base_that_does_not_match_is_followed_by_the_whole) {
   Cluster cluster(3);
   cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
@@ -130,7 +155,8 @@
   cluster.run(500ms);
   std::string rotten;
   for (const std::string& founder : cluster.founders())
-    if (founder != leader) rotten = founder;
+    if (founder != leader)
+      rotten = founder;
   cluster.stop(rotten);
   auto entry = std::make_shared<Entry>(*cluster.at(rotten).disk.entry);
   entry->body = "never, seven";
@@ -141,7 +167,8 @@
   cr_expect(cluster.run_until([&] { return cluster.body_at(rotten) == "seven, eight"; }, 1000ms));
 }
 
-// The receiver's process ends while an entry is on its way to it, at each of several places: it gets the whole all the same.
+// The receiver's process ends while an entry is on its way to it, at each of several places: it
+// gets the whole all the same.
 Test(entry_change, an_entry_on_its_way_is_sent_anew_to_a_receiver_that_began_anew) {
   for (Span after(20); after <= Span(320); after += Span(60)) {
     Cluster cluster(3);
@@ -153,24 +180,29 @@
     cluster.run(after);
     std::string away;
     for (const std::string& founder : cluster.founders())
-      if (founder != leader) away = founder;
+      if (founder != leader)
+        away = founder;
     cluster.stop(away);
     cluster.start(away);
-    cr_expect(cluster.run_until([&] { return cluster.body_at(away) == noise(400000, 7); }, 3000ms), "after %d ms", static_cast<int>(after.count()));
+    cr_expect(cluster.run_until([&] { return cluster.body_at(away) == noise(400000, 7); }, 3000ms),
+              "after %d ms", static_cast<int>(after.count()));
   }
 }
 
-// A member is away, comes back (with its disk, or wiped, or with a slow one) while changes go on and on: it catches up, no
-// beat waits behind what it gets, and it neither leads nor tells old state meanwhile.
+// A member is away, comes back (with its disk, or wiped, or with a slow one) while changes go on
+// and on: it catches up, no beat waits behind what it gets, and it neither leads nor tells old
+// state meanwhile.
 Test(entry_change, whoever_was_away_catches_up_while_changes_go_on) {
   struct Row {
     std::size_t size;
     int changes;
     std::size_t bytes_per_ms;  // of a way; 1000 is 8 Mbit/s
   };
-  for (const Row& row : {Row{4000, 300, 125}, Row{300000, 300, 1000}, Row{4000000, 300, 12500}, Row{4000000, 1000, 12500}})
+  for (const Row& row : {Row{4000, 300, 125}, Row{300000, 300, 1000}, Row{4000000, 300, 12500},
+                         Row{4000000, 1000, 12500}})
     for (const bool is_wiped : {false, true}) {
-      if (row.size == 4000000 && is_wiped == (row.changes == 1000)) continue;  // one of each is enough
+      if (row.size == 4000000 && is_wiped == (row.changes == 1000))
+        continue;  // one of each is enough
       Cluster cluster(3);
       cluster.bytes_per_ms = row.bytes_per_ms;
       cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
@@ -180,17 +212,21 @@
       cr_assert(cluster.run_until([&] { return cluster.is_done(leader, token); }, 20000ms));
       std::string away;
       for (const std::string& founder : cluster.founders())
-        if (founder != leader) away = founder;
+        if (founder != leader)
+          away = founder;
       cluster.run(2000ms);
-      if (is_wiped) cluster.wipe(away);
-      else cluster.stop(away);
+      if (is_wiped)
+        cluster.wipe(away);
+      else
+        cluster.stop(away);
       const Term term = cluster.at(leader).agreement->term();
       const auto change = [&] {
         ++version;
         token = cluster.propose(version, large_body(row.size, version));
         cr_assert(cluster.run_until([&] { return cluster.is_done(leader, token); }, 3000ms));
       };
-      for (int count = 0; count < row.changes; ++count) change();
+      for (int count = 0; count < row.changes; ++count)
+        change();
       const std::uint64_t sent = cluster.piece_bytes_sent();
       cluster.start(away);
       const Moment back = cluster.now();
@@ -200,26 +236,36 @@
       while (cluster.now() - back < Span(4000)) {
         change();
         const auto& agreement = *cluster.at(away).agreement;
-        if (agreement.leader_address() == leader) lead_heard = cluster.now();
+        if (agreement.leader_address() == leader)
+          lead_heard = cluster.now();
         longest_silence = std::max(longest_silence, span_between(lead_heard, cluster.now()));
-        cr_assert(agreement.role() == Agreement::Role::follower || agreement.role() == Agreement::Role::pre_candidate);
-        if (caught_up == Span(0) && agreement.committed() && agreement.committed()->version.value + 20 > version &&
-            std::any_of(cluster.at(leader).agreement->committed()->members.begin(), cluster.at(leader).agreement->committed()->members.end(),
+        cr_assert(agreement.role() == Agreement::Role::follower ||
+                  agreement.role() == Agreement::Role::pre_candidate);
+        if (caught_up == Span(0) && agreement.committed() &&
+            agreement.committed()->version.value + 20 > version &&
+            std::any_of(cluster.at(leader).agreement->committed()->members.begin(),
+                        cluster.at(leader).agreement->committed()->members.end(),
                         [&](const Member& member) { return member.id == agreement.self(); }))
           caught_up = span_between(back, cluster.now());
       }
-      cr_log_info("%zu bytes, %d changes, %zu bytes/ms, %s: caught up after %d ms, %d KB sent meanwhile", row.size, row.changes, row.bytes_per_ms,
-                  is_wiped ? "wiped" : "with its disk", static_cast<int>(caught_up.count()), static_cast<int>((cluster.piece_bytes_sent() - sent) / 1000));
+      cr_log_info(
+          "%zu bytes, %d changes, %zu bytes/ms, %s: caught up after %d ms, %d KB sent meanwhile",
+          row.size, row.changes, row.bytes_per_ms, is_wiped ? "wiped" : "with its disk",
+          static_cast<int>(caught_up.count()),
+          static_cast<int>((cluster.piece_bytes_sent() - sent) / 1000));
       // The whole travels once, and beyond that what changes.
-      cr_expect(cluster.piece_bytes_sent() - sent < row.size * 3 / 2 + 400000, "%d KB", static_cast<int>((cluster.piece_bytes_sent() - sent) / 1000));
-      cr_expect(caught_up > Span(0), "%zu bytes, %d changes, wiped %d", row.size, row.changes, is_wiped);
-      cr_expect(longest_silence < Span(700), "%d ms without a leader", static_cast<int>(longest_silence.count()));
+      cr_expect(cluster.piece_bytes_sent() - sent < row.size * 3 / 2 + 400000, "%d KB",
+                static_cast<int>((cluster.piece_bytes_sent() - sent) / 1000));
+      cr_expect(caught_up > Span(0), "%zu bytes, %d changes, wiped %d", row.size, row.changes,
+                is_wiped);
+      cr_expect(longest_silence < Span(700), "%d ms without a leader",
+                static_cast<int>(longest_silence.count()));
       cr_expect(cluster.leader() == leader && cluster.at(leader).agreement->term() == term);
     }
 }
 
-// A member whose disk is slow, or stalls for two seconds, while changes follow each other: it holds nobody up, is never
-// counted for what it has not synced, and catches up while they go on.
+// A member whose disk is slow, or stalls for two seconds, while changes follow each other: it holds
+// nobody up, is never counted for what it has not synced, and catches up while they go on.
 Test(entry_change, a_slow_or_stalled_disk_holds_nobody_up) {
   for (const Span save_time : {Span(30), Span(300), Span(600), Span(2000)}) {
     Cluster cluster(3);
@@ -227,24 +273,31 @@
     const std::string leader = cluster.leader();
     std::string slow;
     for (const std::string& founder : cluster.founders())
-      if (founder != leader) slow = founder;
+      if (founder != leader)
+        slow = founder;
     auto& node = cluster.at(slow);
     node.save_time = save_time;
     std::int64_t version = 0;
     const Moment from = cluster.now();
     while (cluster.now() - from < Span(5000)) {
-      if (cluster.now() - from > Span(2000) && save_time == Span(2000)) node.save_time = Span(0);  // it stalls no more
+      if (cluster.now() - from > Span(2000) && save_time == Span(2000))
+        node.save_time = Span(0);  // it stalls no more
       const Moment asked = cluster.now();
       const std::uint64_t token = cluster.propose(++version, large_body(300000, version));
       cr_assert(cluster.run_until([&] { return cluster.is_done(leader, token); }, 1000ms));
       cr_expect(cluster.now() - asked < Span(200), "the other two are a majority");
       cr_assert(node.agreement->role() != Agreement::Role::leader);
-      cr_expect(node.disk.entry->index <= node.agreement->status(cluster.now()).last, "what is on disk is what was held");
+      cr_expect(node.disk.entry->index <= node.agreement->status(cluster.now()).last,
+                "what is on disk is what was held");
     }
     cr_expect(cluster.leader() == leader);
     const std::int64_t behind = version - node.disk.entry->version.value;
-    cr_log_info("a save takes %d ms: %d changes, %d behind on disk", static_cast<int>(save_time.count()), static_cast<int>(version), static_cast<int>(behind));
+    cr_log_info("a save takes %d ms: %d changes, %d behind on disk",
+                static_cast<int>(save_time.count()), static_cast<int>(version),
+                static_cast<int>(behind));
     cr_expect(behind * 25 < save_time.count() * 2 + 500, "two saves' time behind at most");
-    cr_expect(cluster.run_until([&] { return node.disk.entry->version.value == version; }, save_time * 2 + 200ms), "and level soon after the last");
+    cr_expect(cluster.run_until([&] { return node.disk.entry->version.value == version; },
+                                save_time * 2 + 200ms),
+              "and level soon after the last");
   }
 }
--- a/tests/envoy_test.cpp
+++ b/tests/envoy_test.cpp
@@ -12,7 +12,8 @@
  public:
   NodeServer() : server_(poller, schedule, *this, 16, 1 << 20) {
     for (int port = 30000; port < 60000 && !address.port; ++port)
-      if (!server_.open({"127.0.0.1", port})) address = {"127.0.0.1", port};
+      if (!server_.open({"127.0.0.1", port}))
+        address = {"127.0.0.1", port};
     server_.set_limits({16384, 1 << 20, Span(3000), Span(15000)});
   }
   void on_request(Visit& visit, Moment now) override {
@@ -21,16 +22,26 @@
     body = visit.body();
     visit.answer({status, "OK", "Content-Type: application/json\r\n", answer}, now);
   }
-  void on_gone(Visit&) override {}
+  void on_gone(Visit&) override {
+  }
   // Serves until the envoy has told what came of it.
-  NodeAnswer ask(Envoy& envoy, Ring<CoreEvent>& events, int with_status, const std::string& with_answer) {
+  NodeAnswer ask(Envoy& envoy, Ring<CoreEvent>& events, int with_status,
+                 const std::string& with_answer) {
     status = with_status, answer = with_answer;
-    envoy.order({5, "shard-a", "i-1", address.text(), {}, R"({"interface":2,"what":"close"})", 0, Clock::now() + 5s});
+    envoy.order({5,
+                 "shard-a",
+                 "i-1",
+                 address.text(),
+                 {},
+                 R"({"interface":2,"what":"close"})",
+                 0,
+                 Clock::now() + 5s});
     for (const Moment until = Clock::now() + 5s; Clock::now() < until;) {
       poller.poll(Span(5));
       server_.reap();
       for (CoreEvent& event : events.take())
-        if (auto* told = std::get_if<NodeTold>(&event)) return told->answer;
+        if (auto* told = std::get_if<NodeTold>(&event))
+          return told->answer;
     }
     return {};
   }
@@ -52,19 +63,24 @@
   Envoy envoy(Startup{}, events);
   envoy.start();
   using Kind = NodeAnswer::Kind;
-  const NodeAnswer done = node.ask(envoy, events, 200, R"({"interface":2,"is_done":true,"share":1,"position":41})");
+  const NodeAnswer done =
+      node.ask(envoy, events, 200, R"({"interface":2,"is_done":true,"share":1,"position":41})");
   cr_expect(done.kind == Kind::told && done.is_done && done.interface == 2 && done.position == 41u);
-  cr_expect(node.path == "/ring/moves" && node.meant == "i-1" && node.body.find("close") != std::string::npos);
+  cr_expect(node.path == "/ring/moves" && node.meant == "i-1" &&
+            node.body.find("close") != std::string::npos);
   const NodeAnswer old = node.ask(envoy, events, 200, R"({"is_done":true,"share":1})");
   cr_expect(old.kind == Kind::told && old.interface == 1 && !old.position);
-  for (const char* garbage : {"", "done", "[]", R"({"is_done":"yes"})", R"({"is_done":true,"position":-1})", R"({"is_done":true,"share":7})", R"({"is_done":true,"interface":"2"})"})
+  for (const char* garbage :
+       {"", "done", "[]", R"({"is_done":"yes"})", R"({"is_done":true,"position":-1})",
+        R"({"is_done":true,"share":7})", R"({"is_done":true,"interface":"2"})"})
     cr_expect(node.ask(envoy, events, 200, garbage).kind == Kind::garbled, "%s", garbage);
   cr_expect(node.ask(envoy, events, 421, "{}").kind == Kind::refused);
   envoy.order({6, "shard-a", "i-1", "127.0.0.1:1", {}, "{}", 0, Clock::now() + 5s});
   bool is_silent = false;
   for (const Moment until = Clock::now() + 5s; Clock::now() < until && !is_silent;)
     for (CoreEvent& event : events.take())
-      if (auto* told = std::get_if<NodeTold>(&event)) is_silent = told->answer.kind == Kind::silent;
+      if (auto* told = std::get_if<NodeTold>(&event))
+        is_silent = told->answer.kind == Kind::silent;
   cr_expect(is_silent);
   envoy.stop();
 }
@@ -77,11 +93,19 @@
   envoy.start();
   const auto order = [&](std::uint64_t term) {
     node.path.clear();
-    envoy.order({5, "shard-a", "i-1", node.address.text(), {}, R"({"interface":2,"what":"close"})", term, Clock::now() - 1ms});
+    envoy.order({5,
+                 "shard-a",
+                 "i-1",
+                 node.address.text(),
+                 {},
+                 R"({"interface":2,"what":"close"})",
+                 term,
+                 Clock::now() - 1ms});
     for (const Moment until = Clock::now() + 5s; Clock::now() < until;) {
       node.poller.poll(Span(5));
       for (CoreEvent& event : events.take())
-        if (std::get_if<NodeTold>(&event)) return !node.path.empty();
+        if (std::get_if<NodeTold>(&event))
+          return !node.path.empty();
     }
     return false;
   };
@@ -97,7 +121,12 @@
 
 // The move itself: what a node says without saying it whole moves nothing.
 Test(ring, a_node_that_is_not_understood_moves_nothing_and_the_reason_is_shown) {
-  RingSheet sheet{1, "edition: 1\nrule: l\nvirtual_nodes: 4\nnodes:\n- {name: a, zone: x, memory_mb: 900, disk_mb: 9000}\n- {name: b, zone: x, memory_mb: 900, disk_mb: 9000}\n", {}, {}, {}};
+  RingSheet sheet{1,
+                  "edition: 1\nrule: l\nvirtual_nodes: 4\nnodes:\n- {name: a, zone: x, memory_mb: "
+                  "900, disk_mb: 9000}\n- {name: b, zone: x, memory_mb: 900, disk_mb: 9000}\n",
+                  {},
+                  {},
+                  {}};
   RingMap ring;
   cr_assert(!ring_of(sheet, ring));
   MoveOptions options;
@@ -105,9 +134,11 @@
   RingMoves moves(options);
   Moment now = Moment{} + 1000s;
   std::string account = "camper-1";
-  for (int number = 2; ring.nodes[ring.owner_of(account)].name != "a"; ++number) account = "camper-" + std::to_string(number);
+  for (int number = 2; ring.nodes[ring.owner_of(account)].name != "a"; ++number)
+    account = "camper-" + std::to_string(number);
   NodeAnswer good;
-  good.kind = NodeAnswer::Kind::told, good.is_done = true, good.interface = 2, good.share = 1, good.position = 7;
+  good.kind = NodeAnswer::Kind::told, good.is_done = true, good.interface = 2, good.share = 1,
+  good.position = 7;
   std::string faulty_at;
   NodeAnswer faulty;
   const auto run = [&](int rounds) {
@@ -115,8 +146,10 @@
       now += 500ms;
       moves.tick(true, sheet, ring, true, now);
       RingMoves::Output output = moves.take();
-      for (const auto& order : output.orders) moves.finish_order(order.token, order.what == faulty_at ? faulty : good);
-      if (!output.proposal) continue;
+      for (const auto& order : output.orders)
+        moves.finish_order(order.token, order.what == faulty_at ? faulty : good);
+      if (!output.proposal)
+        continue;
       sheet = *output.proposal;
       cr_assert(!ring_of(sheet, ring));
       moves.finish_proposal();
@@ -126,33 +159,45 @@
   cr_assert(moves.request(RingUnit{0, account}, "b", ring, {"a", "b"}).empty());
   faulty_at = "close", faulty = good, faulty.position.reset();
   run(8);
-  cr_expect(moves.moves()[0].step == RingMove::Step::closing && moves.why(1) == "a says closed without its position", "%s", moves.why(1).c_str());
+  cr_expect(moves.moves()[0].step == RingMove::Step::closing &&
+                moves.why(1) == "a says closed without its position",
+            "%s", moves.why(1).c_str());
   faulty = {}, faulty.kind = NodeAnswer::Kind::garbled;
   run(2);
   cr_expect(moves.why(1) == "a answers with garbage to close", "%s", moves.why(1).c_str());
   faulty_at = "finish", faulty = good, faulty.position = 6;
   run(4);
-  cr_expect(ring.nodes[ring.owner_of(account)].name == "a" && moves.why(1) == "b says finished without the giver's position", "%s", moves.why(1).c_str());
-  cr_expect(moves.request(RingUnit{0, account}, "b", ring, {"a", "b"}, true) == "it is on the move already");
+  cr_expect(ring.nodes[ring.owner_of(account)].name == "a" &&
+                moves.why(1) == "b says finished without the giver's position",
+            "%s", moves.why(1).c_str());
+  cr_expect(moves.request(RingUnit{0, account}, "b", ring, {"a", "b"}, true) ==
+            "it is on the move already");
   faulty_at.clear();
   run(30);
-  cr_expect(moves.moves()[0].step == RingMove::Step::settled && ring.placed.at(account) == ring.index_of("b"));
+  cr_expect(moves.moves()[0].step == RingMove::Step::settled &&
+            ring.placed.at(account) == ring.index_of("b"));
   cr_expect(moves.undo(1) == "it is over");
   // Back again, and a node of an older version.
   cr_assert(moves.request(RingUnit{0, account}, "a", ring, {"a", "b"}).empty());
   faulty_at = "describe", faulty = good, faulty.interface = 1;
   run(6);
   cr_expect(moves.moves()[1].step == RingMove::Step::undone && ring.placed.contains(account));
-  cr_expect(moves.why(2) == "b speaks version 1 of the interface, 2 is needed", "%s", moves.why(2).c_str());
+  cr_expect(moves.why(2) == "b speaks version 1 of the interface, 2 is needed", "%s",
+            moves.why(2).c_str());
   faulty_at.clear();
   cr_assert(moves.request(RingUnit{0, account}, "a", ring, {"a", "b"}).empty());
   run(30);
   cr_expect(ring.placed.empty(), "at home it needs no place in the table");
   // The table is bounded, and what is written is read again, also as it was before accounts moved.
   std::vector<RingMove> read;
-  cr_expect(decode_moves(encode_moves(moves.moves()), read) && read.size() == 3 && read[0].unit.account == account);
-  const std::string first_form = Writer().number(9).number(3).text("a").text("b").number(4).number(12).take();
-  cr_expect(decode_moves(first_form, read) && read[0].id == 9 && read[0].unit.virtual_node == 3 && !read[0].unit.is_account());
-  for (std::size_t number = 0; number < most_placed; ++number) ring.placed["full-" + std::to_string(number)] = 1;
-  cr_expect(moves.request(RingUnit{0, account}, "b", ring, {"a", "b"}) == "the table of placed accounts is full");
+  cr_expect(decode_moves(encode_moves(moves.moves()), read) && read.size() == 3 &&
+            read[0].unit.account == account);
+  const std::string first_form =
+      Writer().number(9).number(3).text("a").text("b").number(4).number(12).take();
+  cr_expect(decode_moves(first_form, read) && read[0].id == 9 && read[0].unit.virtual_node == 3 &&
+            !read[0].unit.is_account());
+  for (std::size_t number = 0; number < most_placed; ++number)
+    ring.placed["full-" + std::to_string(number)] = 1;
+  cr_expect(moves.request(RingUnit{0, account}, "b", ring, {"a", "b"}) ==
+            "the table of placed accounts is full");
 }
--- a/tests/errand_test.cpp
+++ b/tests/errand_test.cpp
@@ -8,7 +8,8 @@
   stage.errand->start(start);
   cr_assert(stage.asked.size() == 1);
   stage.take(0, {201, false, "Created", "Answer-Seal: x\r\n", "x", "body"});
-  cr_expect(stage.status() == 201 && stage.final.reason == "Created" && stage.final.body == "body" && stage.final.fields == "Answer-Seal: x\r\n");
+  cr_expect(stage.status() == 201 && stage.final.reason == "Created" &&
+            stage.final.body == "body" && stage.final.fields == "Answer-Seal: x\r\n");
 }
 
 Test(errand, a_harmless_one_goes_to_another_backend_after_a_breakdown) {
@@ -34,13 +35,15 @@
   stage.take(0, Stage::failed(503, true));
   cr_assert(stage.asked.size() == 2);
   stage.take(0, Stage::failed(503, true));
-  cr_expect(stage.status() == 503 && stage.final.retry_after > Span(0), "it has not run and will not");
+  cr_expect(stage.status() == 503 && stage.final.retry_after > Span(0),
+            "it has not run and will not");
 }
 
 Test(errand, a_risky_one_is_never_asked_twice_at_a_time) {
   Stage stage(risky);
   stage.errand->start(start);
-  for (Moment now = start; now < start + 900ms; now += 10ms) stage.errand->on_due(now);
+  for (Moment now = start; now < start + 900ms; now += 10ms)
+    stage.errand->on_due(now);
   cr_expect(stage.asked.size() == 1);
   stage.errand->on_due(stage.errand->deadline());
   cr_expect(stage.status() == 504, "it may have run: no promise");
@@ -101,7 +104,8 @@
 Test(errand, near_the_aim_enough_parts_are_enough) {
   Stage stage(gathered);
   stage.errand->start(start);
-  for (std::size_t part = 0; part < 3; ++part) stage.take(part, Stage::good("p" + std::to_string(part)));
+  for (std::size_t part = 0; part < 3; ++part)
+    stage.take(part, Stage::good("p" + std::to_string(part)));
   cr_expect(stage.answers == 0);
   stage.errand->on_due(start + 190ms);
   cr_expect(stage.status() == 200 && stage.final.fields.ends_with("Parts-Missing: 1\r\n"));
@@ -110,7 +114,8 @@
 Test(errand, too_few_parts_are_no_success) {
   Stage stage(gathered);
   stage.errand->start(start);
-  for (std::size_t part = 0; part < 2; ++part) stage.take(part, Stage::good("p" + std::to_string(part)));
+  for (std::size_t part = 0; part < 2; ++part)
+    stage.take(part, Stage::good("p" + std::to_string(part)));
   stage.errand->on_due(start + 190ms);
   cr_expect(stage.answers == 0);
   stage.errand->on_due(stage.errand->deadline());
@@ -130,7 +135,8 @@
   stage.cancel_service(2);
   stage.errand->start(start);
   cr_assert(stage.asked.size() == 3);
-  for (const std::size_t part : {0, 1, 3}) stage.take(part, Stage::good("p" + std::to_string(part)));
+  for (const std::size_t part : {0, 1, 3})
+    stage.take(part, Stage::good("p" + std::to_string(part)));
   cr_expect(stage.status() == 200 && stage.final.fields.ends_with("Parts-Missing: 1\r\n"));
 }
 
@@ -150,7 +156,8 @@
   cr_expect(stage.answers == 0);
 }
 
-// Begun anew as often as it may be, its askings that may have run are never more than its tries; refused ones don't count.
+// Begun anew as often as it may be, its askings that may have run are never more than its tries;
+// refused ones don't count.
 Test(errand, begun_anew_it_keeps_to_the_tries_of_all_its_rounds) {
   for (const char* rule : {single, gathered}) {
     Stage stage(rule, 4, 3);
@@ -162,12 +169,17 @@
     stage.errand->give_way(0);
     Stage again(rule, 4, 3);
     again.errand->start_again(*stage.errand, start + 152ms);
-    for (Moment now = start + 160ms; now < start + 900ms; now += 100ms) again.errand->on_due(now);
+    for (Moment now = start + 160ms; now < start + 900ms; now += 100ms)
+      again.errand->on_due(now);
     std::map<std::size_t, int> per_part;
-    for (const auto& item : stage.asked) ++per_part[item.part];
-    for (const auto& item : again.asked) ++per_part[item.part];
-    for (const auto& [part, count] : per_part) cr_expect(count - (part == 0) == 3, "part %zu: %d", part, count);
-    cr_expect(!again.errand->may_restart(1 % per_part.size(), start + 900ms) || rule == single, "its tries are used up");
+    for (const auto& item : stage.asked)
+      ++per_part[item.part];
+    for (const auto& item : again.asked)
+      ++per_part[item.part];
+    for (const auto& [part, count] : per_part)
+      cr_expect(count - (part == 0) == 3, "part %zu: %d", part, count);
+    cr_expect(!again.errand->may_restart(1 % per_part.size(), start + 900ms) || rule == single,
+              "its tries are used up");
   }
 }
 
@@ -180,7 +192,8 @@
     cr_expect(once.status() == 502 && once.asked.size() == 1, "%d", status);
     free.errand->start(start);
     free.take(0, Stage::failed(status, false));
-    if (free.asked.size() == 2) free.take(0, Stage::failed(status, false));
+    if (free.asked.size() == 2)
+      free.take(0, Stage::failed(status, false));
     cr_expect(free.status() == status, "what may be repeated needs no promise");
   }
 }
--- a/tests/evening.h
+++ b/tests/evening.h
@@ -1,6 +1,7 @@
 #pragma once
-// A busy evening on mixed shard nodes, replayed with a clock of its own: typeahead, lookups, desk checks, holds and tickets,
-// floods of full histories, and moves of virtual nodes and of accounts, with whoever takes part killed or cut off.
+// A busy evening on mixed shard nodes, replayed with a clock of its own: typeahead, lookups, desk
+// checks, holds and tickets, floods of full histories, and moves of virtual nodes and of accounts,
+// with whoever takes part killed or cut off.
 #include <criterion/criterion.h>
 
 #include <algorithm>
@@ -14,24 +15,41 @@
 
 inline constexpr Moment dawn = Moment{} + 1000s;
 
-enum class Ask { lookup, desk_check, write, typeahead, history };
+enum class Ask {
+  lookup,
+  desk_check,
+  write,
+  typeahead,
+  history
+};
 struct Request {
   int id = 0;
   Ask ask{};
   std::string account;
   Moment born{}, until{};
   int tries = 0;
-  bool is_gathered() const { return ask == Ask::typeahead; }
-  bool is_heavy() const { return ask == Ask::history; }
+  bool is_gathered() const {
+    return ask == Ask::typeahead;
+  }
+  bool is_heavy() const {
+    return ask == Ask::history;
+  }
 };
 
 // Knows every write that was acknowledged, and judges what is answered by that alone.
 class Recorder {
  public:
-  void acknowledge(const Request& request, Moment now) { written_[request.account].push_back({request.id, now}); }
-  void land(int id) { doubled += ++landed_[id] > 1; }
-  void finish(const Request& request) { ++finals_[request.id]; }
-  void judge_read(const Request& request, const std::string& account, const std::vector<int>& seen, Moment began) {
+  void acknowledge(const Request& request, Moment now) {
+    written_[request.account].push_back({request.id, now});
+  }
+  void land(int id) {
+    doubled += ++landed_[id] > 1;
+  }
+  void finish(const Request& request) {
+    ++finals_[request.id];
+  }
+  void judge_read(const Request& request, const std::string& account, const std::vector<int>& seen,
+                  Moment began) {
     for (const auto& [id, when] : written_[account])
       if (when < began && std::find(seen.begin(), seen.end(), id) == seen.end()) {
         ++stale;
@@ -39,7 +57,9 @@
         return;
       }
   }
-  void judge_gather(const Request& request, const std::vector<std::pair<std::string, std::vector<int>>>& seen, std::size_t accounts, Moment began) {
+  void judge_gather(const Request& request,
+                    const std::vector<std::pair<std::string, std::vector<int>>>& seen,
+                    std::size_t accounts, Moment began) {
     std::map<std::string, int> counts;
     for (const auto& [account, writes] : seen) {
       doubling += ++counts[account] > 1;
@@ -53,14 +73,19 @@
       const auto& copies = nodes[ring.owner_of(account)].copies;
       const auto copy = copies.find(account);
       for (const auto& [id, when] : writes)
-        missing += copy == copies.end() || std::count(copy->second.writes.begin(), copy->second.writes.end(), id) != 1;
+        missing += copy == copies.end() ||
+                   std::count(copy->second.writes.begin(), copy->second.writes.end(), id) != 1;
     }
-    for (int id = 1; id <= last; ++id) stranded += finals_[id] != 1;
+    for (int id = 1; id <= last; ++id)
+      stranded += finals_[id] != 1;
+  }
+  int wrongs() const {
+    return stranded + doubled + missing + lacking + doubling + stale;
   }
-  int wrongs() const { return stranded + doubled + missing + lacking + doubling + stale; }
   std::string text() const {
-    return "stranded " + std::to_string(stranded) + ", writes doubled " + std::to_string(doubled) + ", missing " + std::to_string(missing) + ", answers lacking " +
-           std::to_string(lacking) + ", doubling " + std::to_string(doubling) + ", stale " + std::to_string(stale);
+    return "stranded " + std::to_string(stranded) + ", writes doubled " + std::to_string(doubled) +
+           ", missing " + std::to_string(missing) + ", answers lacking " + std::to_string(lacking) +
+           ", doubling " + std::to_string(doubling) + ", stale " + std::to_string(stale);
   }
   int stranded = 0, doubled = 0, missing = 0, lacking = 0, doubling = 0, stale = 0;
 
@@ -70,8 +95,20 @@
 };
 
 struct Evening {
-  enum class Strike { none, kill_leader, kill_broker, cut_broker, kill_giver, kill_receiver };
-  enum class Fate { none, lost, doubled, late };  // of one message
+  enum class Strike {
+    none,
+    kill_leader,
+    kill_broker,
+    cut_broker,
+    kill_giver,
+    kill_receiver
+  };
+  enum class Fate {
+    none,
+    lost,
+    doubled,
+    late
+  };  // of one message
   struct Flight {
     Request request;
     RingSnapshot view;
@@ -98,7 +135,10 @@
   // Options of an evening, set before it runs.
   Span length{16000};
   std::vector<std::pair<std::string, std::string>> moves_wanted = {  // unit and receiver
-      {"camper-0", "quick-2"}, {"camper-1", "quick-2"}, {"camper-2", "far"}, {"camper-3", "quick-2"}};
+      {"camper-0", "quick-2"},
+      {"camper-1", "quick-2"},
+      {"camper-2", "far"},
+      {"camper-3", "quick-2"}};
   bool has_heavy = true, has_bulkheads = true;
   bool has_leases = true, has_units = true, has_waits = true, is_pausing = true;  // protections
   Strike strike = Strike::none;
@@ -128,11 +168,19 @@
     options.lease = Span(1000);
     options.settle = Span(1300);
     options.longest_read = options.longest_gather = Span(700);
-    std::string file = "edition: 1\nrule: lookups\nvirtual_nodes: 32\nvirtual_node_memory_mb: 10\nvirtual_node_disk_mb: 120\naccount_disk_mb: 40\nnodes:\n";
-    file += "- {name: quick-1, zone: x, region: r, memory_mb: 900, disk_mb: 9000, disk_mb_per_s: 400}\n";
-    file += "- {name: quick-2, zone: x, region: r, memory_mb: 900, disk_mb: 9000, disk_mb_per_s: 400}\n";
-    file += "- {name: slow, zone: x, region: r, memory_mb: 900, disk_mb: 9000, disk_mb_per_s: 40}\n";
-    file += "- {name: far, zone: z, region: s, memory_mb: 900, disk_mb: 9000, disk_mb_per_s: 200}\n";
+    std::string file =
+        "edition: 1\nrule: lookups\nvirtual_nodes: 32\nvirtual_node_memory_mb: "
+        "10\nvirtual_node_disk_mb: 120\naccount_disk_mb: 40\nnodes:\n";
+    file +=
+        "- {name: quick-1, zone: x, region: r, memory_mb: 900, disk_mb: 9000, disk_mb_per_s: "
+        "400}\n";
+    file +=
+        "- {name: quick-2, zone: x, region: r, memory_mb: 900, disk_mb: 9000, disk_mb_per_s: "
+        "400}\n";
+    file +=
+        "- {name: slow, zone: x, region: r, memory_mb: 900, disk_mb: 9000, disk_mb_per_s: 40}\n";
+    file +=
+        "- {name: far, zone: z, region: s, memory_mb: 900, disk_mb: 9000, disk_mb_per_s: 200}\n";
     sheet = {1, file, {}, {}, {}};
     cr_assert(!ring_of(sheet, ring));
     const double disks[] = {400, 400, 40, 200}, ways[] = {1, 1, 1, 24}, works[] = {1, 1, 1.25, 1};
@@ -147,72 +195,105 @@
     for (int number = 0, given = 0; given < 60; ++number) {
       const std::string found = "acct-" + std::to_string(number);
       const std::size_t owner = ring.owner_of(found);
-      if (given < 12 && ring.nodes[owner].name != "quick-1") continue;
+      if (given < 12 && ring.nodes[owner].name != "quick-1")
+        continue;
       accounts.push_back(found);
       nodes[owner].copies[found] = {{}, true, false, false};
       ++given;
     }
     for (Broker& broker : brokers) {
       broker.gate.take(view_ring(sheet));
-      for (Backend& backend : broker.backends) backend.capacity = 2;
+      for (Backend& backend : broker.backends)
+        backend.capacity = 2;
     }
   }
-  std::string unit_name(const std::string& wanted) const { return wanted.starts_with("camper-") ? accounts[std::stoul(wanted.substr(7))] : wanted; }
-  std::size_t node_of(const std::string& name) const { return ring.index_of(name); }
-  unsigned draw() { return state_ = state_ * 1664525u + 1013904223u, state_ >> 8; }
+  std::string unit_name(const std::string& wanted) const {
+    return wanted.starts_with("camper-") ? accounts[std::stoul(wanted.substr(7))] : wanted;
+  }
+  std::size_t node_of(const std::string& name) const {
+    return ring.index_of(name);
+  }
+  unsigned draw() {
+    return state_ = state_ * 1664525u + 1013904223u, state_ >> 8;
+  }
 
   void answer(const Request& request, bool is_timed = true) {
     recorder.finish(request);
     const double took = std::chrono::duration<double, std::milli>(now - request.born).count();
-    if (!is_timed) return;
+    if (!is_timed)
+      return;
     (request.is_heavy() ? heavy_times : short_times).push_back(took);
-    if (request.is_heavy()) return;
+    if (request.is_heavy())
+      return;
     ++lookups_;
     late_ += took > 80;
   }
   // Nothing ran: the client comes again, with what counts as a new request of its own.
   void come_back(Request request) {
     ++come_backs;
-    if (++request.tries > 30) return;
+    if (++request.tries > 30)
+      return;
     request.until = now + 500ms + 400ms;
     later_.push_back({now + 500ms, request});
   }
   void send(Broker& broker, Request request) {
-    if (now < broker.dead_until) return come_back(request);
-    const auto way = !has_leases && request.ask != Ask::write ? RingGate::Way::pass : broker.gate.decide(request.account, request.ask != Ask::write, now);
-    if (way == RingGate::Way::come_back) return come_back(request);
+    if (now < broker.dead_until)
+      return come_back(request);
+    const auto way = !has_leases && request.ask != Ask::write
+                         ? RingGate::Way::pass
+                         : broker.gate.decide(request.account, request.ask != Ask::write, now);
+    if (way == RingGate::Way::come_back)
+      return come_back(request);
     if (way == RingGate::Way::wait) {
-      if (now < request.until) broker.parked.push_back(request);
-      else come_back(request);
+      if (now < request.until)
+        broker.parked.push_back(request);
+      else
+        come_back(request);
       return;
     }
     const RingSnapshot view = broker.gate.view();
     const std::size_t owner = view->map.owner_of(request.account);
-    if (has_bulkheads && request.is_heavy() && !admits_heavy(broker.backends[owner], Span(5), span_between(request.born, now), now)) {
+    if (has_bulkheads && request.is_heavy() &&
+        !admits_heavy(broker.backends[owner], Span(5), span_between(request.born, now), now)) {
       broker.waiting.push(request, 0, true, request.until);
       return;
     }
-    if (!request.is_gathered()) {  // as brokers count: work by account, and by virtual node where the ring has it
+    if (!request.is_gathered()) {  // as brokers count: work by account, and by virtual node where
+                                   // the ring has it
       const RingLoad load{1, request.is_heavy() ? 60.0 : 4.0, 0};
       account_loads.add(request.account, load, now);
-      if (!view->map.placed.contains(request.account)) loads.add(view->map.find(request.account), load, now);
+      if (!view->map.placed.contains(request.account))
+        loads.add(view->map.find(request.account), load, now);
     }
     Flight flight{request, view, now, {}, {}};
     for (std::size_t place = 0; place < nodes.size(); ++place)
       if (request.is_gathered() || place == owner) {
         Backend& backend = broker.backends[place];
         ++backend.asked;
-        if (request.is_heavy()) ++backend.heavy_asked;
-        else backend.short_asked = now;
+        if (request.is_heavy())
+          ++backend.heavy_asked;
+        else
+          backend.short_asked = now;
         const ShardNode& node = nodes[place];
         const Moment there = now + Span(static_cast<std::int64_t>(node.way_ms / 2));
         auto& slot = *std::min_element(free_[place].begin(), free_[place].end());
-        const double work = (request.is_heavy() ? 60 : request.is_gathered() ? 2 : 4) * node.work_times * (1 + 3 * node.copying_mb_s / node.disk_mb_s);
-        slot = std::max(slot, there) + std::chrono::microseconds(static_cast<std::int64_t>(work * 1000));
-        flight.legs.push_back({place, slot, slot + Span(static_cast<std::int64_t>(node.way_ms / 2)), false, false, false, {}});
+        const double work = (request.is_heavy()      ? 60
+                             : request.is_gathered() ? 2
+                                                     : 4) *
+                            node.work_times * (1 + 3 * node.copying_mb_s / node.disk_mb_s);
+        slot = std::max(slot, there) +
+               std::chrono::microseconds(static_cast<std::int64_t>(work * 1000));
+        flight.legs.push_back({place,
+                               slot,
+                               slot + Span(static_cast<std::int64_t>(node.way_ms / 2)),
+                               false,
+                               false,
+                               false,
+                               {}});
         ++load_[place];
       }
-    if (request.ask == Ask::write) broker.gate.start(request.account, static_cast<std::uint32_t>(owner));
+    if (request.ask == Ask::write)
+      broker.gate.start(request.account, static_cast<std::uint32_t>(owner));
     broker.flights.push_back(std::move(flight));
   }
   void land(Flight& flight, Flight::Leg& leg) {
@@ -221,17 +302,22 @@
     ShardNode& node = nodes[leg.node];
     const RingHead head = head_for(*flight.view, leg.node, has_units);
     const Request& request = flight.request;
-    if (node.down_until > now) leg.is_turned_away = true;  // not even taken
+    if (node.down_until > now)
+      leg.is_turned_away = true;  // not even taken
     else if (request.ask == Ask::write) {
       leg.is_turned_away = !node.write(request.id, request.account);
-      if (!leg.is_turned_away) recorder.land(request.id);
-    } else if (request.is_gathered()) leg.is_turned_away = !node.gather(head, flight.gathered);
-    else leg.is_turned_away = !node.read(head, request.account, leg.seen);
+      if (!leg.is_turned_away)
+        recorder.land(request.id);
+    } else if (request.is_gathered())
+      leg.is_turned_away = !node.gather(head, flight.gathered);
+    else
+      leg.is_turned_away = !node.read(head, request.account, leg.seen);
   }
   void release(Broker& broker, const Flight& flight, const Flight::Leg& leg) {
     Backend& backend = broker.backends[leg.node];
     --backend.asked;
-    if (flight.request.is_heavy()) --backend.heavy_asked;
+    if (flight.request.is_heavy())
+      --backend.heavy_asked;
     backend.foreign_load = std::max(0, load_[leg.node] - backend.asked);
     backend.load_seen = now;
   }
@@ -240,37 +326,53 @@
     std::vector<Flight> done;
     for (Flight& flight : flights) {
       for (Flight::Leg& leg : flight.legs) {
-        if (!leg.has_landed && now >= leg.lands) land(flight, leg);
+        if (!leg.has_landed && now >= leg.lands)
+          land(flight, leg);
         if (leg.has_landed && !leg.is_back && now >= leg.back) {
           leg.is_back = true;
           release(broker, flight, leg);
         }
       }
-      const bool is_over = std::all_of(flight.legs.begin(), flight.legs.end(), [](const Flight::Leg& leg) { return leg.is_back; });
+      const bool is_over = std::all_of(flight.legs.begin(), flight.legs.end(),
+                                       [](const Flight::Leg& leg) { return leg.is_back; });
       (is_over ? done : broker.flights).push_back(std::move(flight));
     }
     for (Flight& flight : done) {
       const Request& request = flight.request;
-      if (request.ask == Ask::write) broker.gate.finish(request.account, static_cast<std::uint32_t>(flight.legs[0].node));
-      if (std::any_of(flight.legs.begin(), flight.legs.end(), [](const Flight::Leg& leg) { return leg.is_turned_away; })) {
-        if (broker.gate.view()->mark > flight.view->mark && now < request.until) ++restarts, send(broker, request);
-        else come_back(request);
+      if (request.ask == Ask::write)
+        broker.gate.finish(request.account, static_cast<std::uint32_t>(flight.legs[0].node));
+      if (std::any_of(flight.legs.begin(), flight.legs.end(),
+                      [](const Flight::Leg& leg) { return leg.is_turned_away; })) {
+        if (broker.gate.view()->mark > flight.view->mark && now < request.until)
+          ++restarts, send(broker, request);
+        else
+          come_back(request);
         continue;
       }
-      if (request.ask == Ask::write) recorder.acknowledge(request, now);
-      else if (request.is_gathered()) recorder.judge_gather(request, flight.gathered, accounts.size(), flight.began);
-      else recorder.judge_read(request, request.account, flight.legs[0].seen, flight.began);
+      if (request.ask == Ask::write)
+        recorder.acknowledge(request, now);
+      else if (request.is_gathered())
+        recorder.judge_gather(request, flight.gathered, accounts.size(), flight.began);
+      else
+        recorder.judge_read(request, request.account, flight.legs[0].seen, flight.began);
       answer(request);
     }
     Request next;
-    for (std::size_t left = broker.waiting.size(); left > 0 && broker.waiting.pop(next); --left) send(broker, next);
-    std::erase_if(broker.parked, [&](const Request& request) { return now >= request.until && (come_back(request), true); });
+    for (std::size_t left = broker.waiting.size(); left > 0 && broker.waiting.pop(next); --left)
+      send(broker, next);
+    std::erase_if(broker.parked, [&](const Request& request) {
+      return now >= request.until && (come_back(request), true);
+    });
+  }
+  Fate meet() {
+    return messages++ == fated ? fate : Fate::none;
   }
-  Fate meet() { return messages++ == fated ? fate : Fate::none; }
   void order(const RingMoves::Order& order, bool is_answered) {
     const auto [memory, mb] = ring.size_of(order.unit);
-    const NodeAnswer answer = nodes[node_of(order.node)].perform(order, nodes[node_of(order.other)], mb, now);
-    if (is_answered) moves->finish_order(order.token, answer);
+    const NodeAnswer answer =
+        nodes[node_of(order.node)].perform(order, nodes[node_of(order.other)], mb, now);
+    if (is_answered)
+      moves->finish_order(order.token, answer);
   }
   void run_core() {
     moves->tick(true, sheet, ring, late_ <= 0.02 * std::max(50.0, lookups_) || !is_pausing, now);
@@ -278,31 +380,42 @@
     RingMoves::Output output = moves->take();
     for (const auto& one : output.orders) {
       const Fate met = meet();
-      if (met == Fate::late) delayed_.push_back({now + 2500ms, one});
-      if (met == Fate::lost || met == Fate::late) moves->finish_order(one.token, {});
-      else order(one, true);
-      if (met == Fate::doubled) order(one, false);
+      if (met == Fate::late)
+        delayed_.push_back({now + 2500ms, one});
+      if (met == Fate::lost || met == Fate::late)
+        moves->finish_order(one.token, {});
+      else
+        order(one, true);
+      if (met == Fate::doubled)
+        order(one, false);
     }
     if (output.proposal) {
       sheet = *output.proposal;
       cr_assert(!ring_of(sheet, ring));
-      for (ShardNode& node : nodes) node.ring = ring;
+      for (ShardNode& node : nodes)
+        node.ring = ring;
       moves->finish_proposal();
       std::vector<RingMove> agreed;
       decode_moves(sheet.moves, agreed);
       for (const RingMove& move : agreed)
-        if (move.mark == sheet.mark && move.id == 1) strike_now(move);
+        if (move.mark == sheet.mark && move.id == 1)
+          strike_now(move);
     }
-    if (now < dawn + 3s) return;
+    if (now < dawn + 3s)
+      return;
     std::set<std::string> serving;
-    for (const ShardNode& node : nodes) serving.insert(node.name);
+    for (const ShardNode& node : nodes)
+      serving.insert(node.name);
     while (!moves_wanted.empty()) {
       const auto [wanted, to] = moves_wanted.front();
       const std::string name = unit_name(wanted);
       RingUnit unit;
-      if (name.starts_with("acct-")) unit.account = name;
-      else unit.virtual_node = static_cast<VirtualNode>(std::stoul(name));
-      const std::string reason = moves->request(unit, to, ring, serving, true, static_cast<double>(moves_wanted.size()));
+      if (name.starts_with("acct-"))
+        unit.account = name;
+      else
+        unit.virtual_node = static_cast<VirtualNode>(std::stoul(name));
+      const std::string reason =
+          moves->request(unit, to, ring, serving, true, static_cast<double>(moves_wanted.size()));
       cr_assert(reason.empty(), "%s", reason.c_str());
       moves_wanted.erase(moves_wanted.begin());
     }
@@ -310,43 +423,61 @@
   void follow(Broker& broker, const std::string& name) {
     broker.due = now + 200ms;
     const Fate met = meet();
-    if (met == Fate::lost || met == Fate::late) return;  // its answer, come late, would count from the asking: the same as none
+    if (met == Fate::lost || met == Fate::late)
+      return;  // its answer, come late, would count from the asking: the same as none
     moves->holders().note(name, broker.life, broker.gate.confirmed(), now);
-    const Span granted = moves->holders().grant(name, broker.life, now), lease = has_waits ? granted : Span(1000);
-    if (broker.gate.view()->mark < sheet.mark) broker.gate.take(view_ring(sheet));
-    if (lease > Span(0)) broker.gate.set_lease(now + lease - 30ms);
-    for (const Request& request : std::exchange(broker.parked, {})) send(broker, request);
+    const Span granted = moves->holders().grant(name, broker.life, now),
+               lease = has_waits ? granted : Span(1000);
+    if (broker.gate.view()->mark < sheet.mark)
+      broker.gate.take(view_ring(sheet));
+    if (lease > Span(0))
+      broker.gate.set_lease(now + lease - 30ms);
+    for (const Request& request : std::exchange(broker.parked, {}))
+      send(broker, request);
   }
   void strike_now(const RingMove& move) {
-    if (strike == Strike::none || has_struck || move.step != strike_at) return;
+    if (strike == Strike::none || has_struck || move.step != strike_at)
+      return;
     has_struck = true;
     Broker& broker = brokers[0];
-    if (strike == Strike::kill_leader) restart_core();
+    if (strike == Strike::kill_leader)
+      restart_core();
     if (strike == Strike::kill_broker) {  // what is on its way goes on, its answers reach nobody
       for (Flight& flight : broker.flights) {
-        if (flight.request.ask == Ask::write) recorder.finish(flight.request);  // the client is told that nobody knows
-        else later_.push_back({now + 300ms, flight.request});
+        if (flight.request.ask == Ask::write)
+          recorder.finish(flight.request);  // the client is told that nobody knows
+        else
+          later_.push_back({now + 300ms, flight.request});
         orphans_.push_back(std::move(flight));
       }
-      for (const Request& request : broker.parked) later_.push_back({now + 300ms, request});
-      for (Request next; broker.waiting.pop(next);) later_.push_back({now + 300ms, next});
+      for (const Request& request : broker.parked)
+        later_.push_back({now + 300ms, request});
+      for (Request next; broker.waiting.pop(next);)
+        later_.push_back({now + 300ms, next});
       const LifeId life{broker.life.value + 1};
       broker = Broker{};
       broker.life = life;
       broker.dead_until = now + 800ms;
       broker.due = broker.dead_until;
       broker.gate.take(view_ring(sheet));
-      for (Backend& backend : broker.backends) backend.capacity = 2;
+      for (Backend& backend : broker.backends)
+        backend.capacity = 2;
     }
-    if (strike == Strike::cut_broker) broker.cut_until = now + 4s;
-    if (strike == Strike::kill_giver) nodes[node_of(move.from)].down_until = now + 1500ms;
-    if (strike == Strike::kill_receiver) nodes[node_of(move.to)].down_until = now + 1500ms;
+    if (strike == Strike::cut_broker)
+      broker.cut_until = now + 4s;
+    if (strike == Strike::kill_giver)
+      nodes[node_of(move.from)].down_until = now + 1500ms;
+    if (strike == Strike::kill_receiver)
+      nodes[node_of(move.to)].down_until = now + 1500ms;
+  }
+  void restart_core() {
+    moves = std::make_unique<RingMoves>(options);
   }
-  void restart_core() { moves = std::make_unique<RingMoves>(options); }
 
   void step() {
     now += 1ms;
-    if (++ticks_ % 50 == 0) run_core();
+    if (++ticks_ % 50 == 0)
+      run_core();
     for (std::size_t place = 0; place < delayed_.size();)
       if (now >= delayed_[place].first) {
         order(delayed_[place].second, false);
@@ -356,38 +487,54 @@
       }
     for (std::size_t place = 0; place < brokers.size(); ++place) {
       Broker& broker = brokers[place];
-      if (now >= broker.due && now >= broker.cut_until && now >= broker.dead_until) follow(broker, "broker-" + std::to_string(place));
+      if (now >= broker.due && now >= broker.cut_until && now >= broker.dead_until)
+        follow(broker, "broker-" + std::to_string(place));
       advance(broker);
     }
     for (Flight& flight : orphans_)
       for (Flight::Leg& leg : flight.legs)
-        if (!leg.has_landed && now >= leg.lands) land(flight, leg);
+        if (!leg.has_landed && now >= leg.lands)
+          land(flight, leg);
     for (const auto& [when, request] : std::exchange(later_, {})) {
-      if (now < when) later_.push_back({when, request});
-      else send(brokers[(request.id + request.tries) % 2], request);
+      if (now < when)
+        later_.push_back({when, request});
+      else
+        send(brokers[(request.id + request.tries) % 2], request);
     }
-    if (now > dawn + length || ticks_ % 3 != 0) return;
+    if (now > dawn + length || ticks_ % 3 != 0)
+      return;
     const unsigned kind = draw() % 100;
     Request request;
     request.id = ++last_id;
-    request.ask = kind < 45 ? Ask::lookup : kind < 55 ? Ask::desk_check : kind < 70 ? Ask::write : kind < 92 ? Ask::typeahead : has_heavy ? Ask::history : Ask::lookup;
+    request.ask = kind < 45   ? Ask::lookup
+                  : kind < 55 ? Ask::desk_check
+                  : kind < 70 ? Ask::write
+                  : kind < 92 ? Ask::typeahead
+                  : has_heavy ? Ask::history
+                              : Ask::lookup;
     request.account = accounts[draw() % 4 == 0 ? 0 : draw() % accounts.size()];  // one is hot
     request.born = now;
     request.until = now + (request.is_heavy() ? 3000ms : 400ms);
     send(brokers[request.id % 2], request);
   }
   void run() {
-    if (!has_waits) options.lease = options.settle = Span(0);
+    if (!has_waits)
+      options.lease = options.settle = Span(0);
     restart_core();
-    while (now < dawn + length + 10s) step();
+    while (now < dawn + length + 10s)
+      step();
     recorder.close(ring, nodes, last_id);
   }
   static double percentile(std::vector<double> times, double share) {
     std::sort(times.begin(), times.end());
-    return times.empty() ? 0 : times[static_cast<std::size_t>(share * static_cast<double>(times.size() - 1))];
+    return times.empty()
+               ? 0
+               : times[static_cast<std::size_t>(share * static_cast<double>(times.size() - 1))];
   }
   bool are_settled(std::size_t count) const {
-    return static_cast<std::size_t>(std::count_if(moves->moves().begin(), moves->moves().end(), [](const RingMove& move) { return move.step == RingMove::Step::settled; })) == count;
+    return static_cast<std::size_t>(std::count_if(
+               moves->moves().begin(), moves->moves().end(),
+               [](const RingMove& move) { return move.step == RingMove::Step::settled; })) == count;
   }
   std::vector<std::string> accounts;
 
--- a/tests/exchange_stage.h
+++ b/tests/exchange_stage.h
@@ -1,6 +1,7 @@
 #pragma once
-// A whole broker over loopback, between stand-in clients and stand-in backends that fail at a numbered byte of an
-// exchange. Every request that a backend read whole is recorded: by then it may have run.
+// A whole broker over loopback, between stand-in clients and stand-in backends that fail at a
+// numbered byte of an exchange. Every request that a backend read whole is recorded: by then it may
+// have run.
 #include <criterion/criterion.h>
 #include <netinet/in.h>
 #include <poll.h>
@@ -19,24 +20,31 @@
 
 namespace saddlewing::tests {
 
-enum class Trouble { none, reset, close, silence };
+enum class Trouble {
+  none,
+  reset,
+  close,
+  silence
+};
 
 // What befalls a request at the first backend that it reaches, or at each.
 struct Plan {
   Trouble trouble = Trouble::none;
-  bool is_in_answer = false;   // else while the request is read
-  std::size_t point = 0;       // after so many bytes of it; beyond its end: after all of it
+  bool is_in_answer = false;  // else while the request is read
+  std::size_t point = 0;      // after so many bytes of it; beyond its end: after all of it
   bool is_everywhere = false;
-  bool is_refused = false;     // answered as not run
-  std::string surplus = {};         // follows the answer at once
-  std::string late_surplus = {};    // goes out on this connection when the next request is there, before its answer
+  bool is_refused = false;   // answered as not run
+  std::string surplus = {};  // follows the answer at once
+  std::string late_surplus =
+      {};  // goes out on this connection when the next request is there, before its answer
 };
 
 struct Run {
   std::string backend, head, body;
 };
 
-// What a plan did to a connection: a backend's port and its peer's name it, and the request that the plan was of.
+// What a plan did to a connection: a backend's port and its peer's name it, and the request that
+// the plan was of.
 struct Strike {
   bool is_whole = false;  // it came behind the whole answer and met whoever was asked next there
 };
@@ -44,21 +52,24 @@
 
 struct Exchange {  // of one client: its requests over one connection, and what came
   std::vector<std::string> requests;
-  std::size_t leaves_after = SIZE_MAX;  // bytes sent, then the client resets its connection
-  std::size_t reads_at_most = SIZE_MAX; // bytes of the answer, then it resets
-  bool keeps_open = false;              // more requests may follow
+  std::size_t leaves_after = SIZE_MAX;   // bytes sent, then the client resets its connection
+  std::size_t reads_at_most = SIZE_MAX;  // bytes of the answer, then it resets
+  bool keeps_open = false;               // more requests may follow
   int socket = -1;
   std::size_t sent = 0;
   std::string out, in;
   bool is_over = false;
   std::vector<int> statuses;
   std::vector<std::string> bodies;
-  int status() const { return statuses.empty() ? 0 : statuses[0]; }
+  int status() const {
+    return statuses.empty() ? 0 : statuses[0];
+  }
 };
 
 inline std::string value_of(const std::string& head, const std::string& name) {
   const auto place = head.find("\r\n" + name + ": ");
-  if (place == std::string::npos) return {};
+  if (place == std::string::npos)
+    return {};
   const auto start = place + name.size() + 4;
   return head.substr(start, head.find("\r\n", start) - start);
 }
@@ -66,34 +77,44 @@
 // Bytes of the first whole message, or 0.
 inline std::size_t message_size(const std::string& bytes) {
   const auto end = bytes.find("\r\n\r\n");
-  if (end == std::string::npos) return 0;
+  if (end == std::string::npos)
+    return 0;
   const std::string length = value_of(bytes.substr(0, end + 2), "Content-Length");
   const std::size_t size = end + 4 + (length.empty() ? 0 : std::stoul(length));
   return bytes.size() >= size ? size : 0;
 }
 
-inline std::string request_of(const std::string& method, const std::string& path, const std::string& try_id, const std::string& body = {}) {
-  return method + " " + path + " HTTP/1.1\r\nHost: h\r\nTry-Id: " + try_id + "\r\nTime-Left: 20000\r\n" +
-         (body.empty() ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n") + "\r\n" + body;
+inline std::string request_of(const std::string& method, const std::string& path,
+                              const std::string& try_id, const std::string& body = {}) {
+  return method + " " + path + " HTTP/1.1\r\nHost: h\r\nTry-Id: " + try_id +
+         "\r\nTime-Left: 20000\r\n" +
+         (body.empty() ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n") + "\r\n" +
+         body;
 }
 
 inline std::string good_answer(const std::string& try_id, const std::string& backend) {
   const std::string body = "to " + try_id + " by " + backend;
-  return "HTTP/1.1 200 OK\r\nTry-Id: " + try_id + "\r\nAnswer-Seal: seal-" + try_id + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+  return "HTTP/1.1 200 OK\r\nTry-Id: " + try_id + "\r\nAnswer-Seal: seal-" + try_id +
+         "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
 inline std::string not_run_answer(const std::string& try_id) {
-  return "HTTP/1.1 503 Busy\r\n" + (try_id.empty() ? "" : "Try-Id: " + try_id + "\r\n") + "Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
+  return "HTTP/1.1 503 Busy\r\n" + (try_id.empty() ? "" : "Try-Id: " + try_id + "\r\n") +
+         "Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 }
 
 class BrokerStage {
  public:
   static constexpr std::size_t tries = 2;  // of a route
   explicit BrokerStage(int backends, int free_give_up_ms = 15000) {
-    for (int number = 0; number < backends; ++number) open_backend("b" + std::to_string(number));
-    const std::string rule = R"("host":"h","service":"s","tries":)" + std::to_string(tries) + R"(,"target_ms":100,"give_up_ms":)";
-    const std::string body = R"({"version":1,"services":[{"name":"s","health_path":"/","most_connections":100000}],"routes":[{"path_start":"/once/","sort":"risky",)" +
-                             rule + R"(800},{"path_start":"/free/","sort":"harmless",)" + rule + std::to_string(free_give_up_ms) + "}]}";
+    for (int number = 0; number < backends; ++number)
+      open_backend("b" + std::to_string(number));
+    const std::string rule = R"("host":"h","service":"s","tries":)" + std::to_string(tries) +
+                             R"(,"target_ms":100,"give_up_ms":)";
+    const std::string body =
+        R"({"version":1,"services":[{"name":"s","health_path":"/","most_connections":100000}],"routes":[{"path_start":"/once/","sort":"risky",)" +
+        rule + R"(800},{"path_start":"/free/","sort":"harmless",)" + rule +
+        std::to_string(free_give_up_ms) + "}]}";
     auto view = std::make_shared<View>();
     const Fault found = read_configuration(body, view->configuration);
     cr_assert(!found, "%s", found.text().c_str());
@@ -121,7 +142,8 @@
       startup.front = {"127.0.0.1", port};
       startup.ready_check = {"127.0.0.1", port + 1};
       broker_ = std::make_unique<Traffic>(startup, LifeId{7});
-      if (broker_->open()) broker_.reset();
+      if (broker_->open())
+        broker_.reset();
     }
     cr_assert(broker_ != nullptr);
     port_ = startup.front.port;
@@ -140,16 +162,20 @@
   ~BrokerStage() {
     broker_->leave();
     broker_->join();
-    for (const auto& [socket, line] : lines_) ::close(socket);
-    for (const Door& door : doors_) ::close(door.socket);
+    for (const auto& [socket, line] : lines_)
+      ::close(socket);
+    for (const Door& door : doors_)
+      ::close(door.socket);
   }
 
   // Plays all of them at once, until each has its answers or its connection has ended.
   void play(std::vector<Exchange>& exchanges) {
     for (Exchange& exchange : exchanges)
-      if (exchange.socket < 0) begin(exchange);
+      if (exchange.socket < 0)
+        begin(exchange);
     const Moment until = Clock::now() + 60s;
-    while (std::ranges::any_of(exchanges, [](const Exchange& exchange) { return !exchange.is_over; })) {
+    while (std::ranges::any_of(exchanges,
+                               [](const Exchange& exchange) { return !exchange.is_over; })) {
       cr_assert(Clock::now() < until, "no end");
       turn(exchanges);
     }
@@ -160,36 +186,49 @@
     play(one);
     return one[0];
   }
-  // The broker's traffic stands still from here to `resume`, as a frozen process does: asked for aid, it waits to send.
+  // The broker's traffic stands still from here to `resume`, as a frozen process does: asked for
+  // aid, it waits to send.
   void freeze() {
     broker_->tell(AidIn{"nobody", {1, "GET", "aid", "", "", {"unknown"}, 1, 1000, 1}});
     held_.acquire();
   }
-  void resume() { resumed_.release(); }
+  void resume() {
+    resumed_.release();
+  }
   void end_lines() {
-    while (!lines_.empty()) lose(lines_.begin()->first, Trouble::close);
+    while (!lines_.empty())
+      lose(lines_.begin()->first, Trouble::close);
   }
   static void add(Exchange& exchange, const std::string& request) {  // to one that was kept open
     exchange.requests.push_back(request);
     exchange.is_over = false;
-    cr_assert(::send(exchange.socket, request.data(), request.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(request.size()));
+    cr_assert(::send(exchange.socket, request.data(), request.size(), MSG_NOSIGNAL) ==
+              static_cast<ssize_t>(request.size()));
   }
 
   // What is still on its way to the backends arrives.
   void settle() {
     std::vector<Exchange> none;
-    while (turn(none, 30)) {}
+    while (turn(none, 30)) {
+    }
+  }
+  const std::vector<Run>& runs(const std::string& try_id) {
+    return runs_[try_id];
   }
-  const std::vector<Run>& runs(const std::string& try_id) { return runs_[try_id]; }
   const Strike* strike_at(const StrikePlace& place) const {  // null: none
     const auto found = strikes_.find(place);
     return found == strikes_.end() ? nullptr : &found->second;
   }
-  bool has_met(const std::string& try_id) const { return met_.contains(try_id); }  // its plan came about
-  const std::map<std::string, std::vector<Run>>& all_runs() const { return runs_; }
+  bool has_met(const std::string& try_id) const {
+    return met_.contains(try_id);
+  }  // its plan came about
+  const std::map<std::string, std::vector<Run>>& all_runs() const {
+    return runs_;
+  }
   std::size_t backends_of(const std::string& try_id) {
     std::set<std::string> names;
-    for (const Run& run : runs_[try_id]) names.insert(run.backend);
+    for (const Run& run : runs_[try_id])
+      names.insert(run.backend);
     return names.size();
   }
 
@@ -215,13 +254,15 @@
     at.sin_family = AF_INET;
     at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     socklen_t size = sizeof at;
-    cr_assert(::bind(door.socket, reinterpret_cast<sockaddr*>(&at), size) == 0 && ::listen(door.socket, 1000) == 0);
+    cr_assert(::bind(door.socket, reinterpret_cast<sockaddr*>(&at), size) == 0 &&
+              ::listen(door.socket, 1000) == 0);
     ::getsockname(door.socket, reinterpret_cast<sockaddr*>(&at), &size);
     door.port = ntohs(at.sin_port);
     doors_.push_back(door);
   }
   void begin(Exchange& exchange) {
-    for (const std::string& request : exchange.requests) exchange.out += request;
+    for (const std::string& request : exchange.requests)
+      exchange.out += request;
     exchange.out.resize(std::min(exchange.out.size(), exchange.leaves_after));
     exchange.socket = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in at{};
@@ -232,29 +273,42 @@
   }
   static void drop(int socket, Trouble how) {
     const linger now{1, 0};
-    if (how == Trouble::reset) ::setsockopt(socket, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    if (how == Trouble::reset)
+      ::setsockopt(socket, SOL_SOCKET, SO_LINGER, &now, sizeof now);
     ::close(socket);
   }
 
   // One round over every socket. Whether anything was to be done within the wait.
   bool turn(std::vector<Exchange>& exchanges, int wait_ms = 1000) {
     std::vector<pollfd> waiting;
-    for (const Door& door : doors_) waiting.push_back({door.socket, POLLIN, 0});
-    for (const auto& [socket, line] : lines_) waiting.push_back({socket, POLLIN, 0});
+    for (const Door& door : doors_)
+      waiting.push_back({door.socket, POLLIN, 0});
+    for (const auto& [socket, line] : lines_)
+      waiting.push_back({socket, POLLIN, 0});
     std::map<int, Exchange*> clients;
     for (Exchange& exchange : exchanges) {
-      if (exchange.is_over) continue;
+      if (exchange.is_over)
+        continue;
       clients[exchange.socket] = &exchange;
-      waiting.push_back({exchange.socket, static_cast<short>(POLLIN | (exchange.sent < exchange.out.size() || exchange.leaves_after != SIZE_MAX ? POLLOUT : 0)), 0});
+      waiting.push_back({exchange.socket,
+                         static_cast<short>(POLLIN | (exchange.sent < exchange.out.size() ||
+                                                              exchange.leaves_after != SIZE_MAX
+                                                          ? POLLOUT
+                                                          : 0)),
+                         0});
     }
-    if (::poll(waiting.data(), waiting.size(), wait_ms) <= 0) return false;
+    if (::poll(waiting.data(), waiting.size(), wait_ms) <= 0)
+      return false;
     for (const pollfd& item : waiting) {
-      if (!item.revents) continue;
-      if (const auto door = std::ranges::find(doors_, item.fd, &Door::socket); door != doors_.end()) {
+      if (!item.revents)
+        continue;
+      if (const auto door = std::ranges::find(doors_, item.fd, &Door::socket);
+          door != doors_.end()) {
         sockaddr_in peer{};
         socklen_t size = sizeof peer;
         const int socket = ::accept(door->socket, reinterpret_cast<sockaddr*>(&peer), &size);
-        if (socket >= 0) lines_[socket].backend = door->name, lines_[socket].port = ntohs(peer.sin_port);
+        if (socket >= 0)
+          lines_[socket].backend = door->name, lines_[socket].port = ntohs(peer.sin_port);
       } else if (lines_.contains(item.fd)) {
         serve(item.fd);
       } else {
@@ -265,25 +319,35 @@
   }
   void serve_client(Exchange& exchange, bool is_writable) {
     if (is_writable && exchange.sent < exchange.out.size()) {
-      const auto count = ::send(exchange.socket, exchange.out.data() + exchange.sent, exchange.out.size() - exchange.sent, MSG_DONTWAIT | MSG_NOSIGNAL);
-      if (count > 0) exchange.sent += static_cast<std::size_t>(count);
+      const auto count = ::send(exchange.socket, exchange.out.data() + exchange.sent,
+                                exchange.out.size() - exchange.sent, MSG_DONTWAIT | MSG_NOSIGNAL);
+      if (count > 0)
+        exchange.sent += static_cast<std::size_t>(count);
     }
-    if (exchange.sent == exchange.out.size() && exchange.leaves_after != SIZE_MAX) return end(exchange, Trouble::reset);
+    if (exchange.sent == exchange.out.size() && exchange.leaves_after != SIZE_MAX)
+      return end(exchange, Trouble::reset);
     char bytes[65536];
-    const auto got = ::recv(exchange.socket, bytes, std::min(sizeof bytes, exchange.reads_at_most), MSG_DONTWAIT);
-    if (got < 0 && errno == EAGAIN) return;
-    if (got <= 0) return end(exchange, Trouble::close);
+    const auto got = ::recv(exchange.socket, bytes, std::min(sizeof bytes, exchange.reads_at_most),
+                            MSG_DONTWAIT);
+    if (got < 0 && errno == EAGAIN)
+      return;
+    if (got <= 0)
+      return end(exchange, Trouble::close);
     exchange.in.append(bytes, static_cast<std::size_t>(got));
-    if (exchange.in.size() >= exchange.reads_at_most) return end(exchange, Trouble::reset);
+    if (exchange.in.size() >= exchange.reads_at_most)
+      return end(exchange, Trouble::reset);
     while (const std::size_t size = message_size(exchange.in)) {
       const std::string message = exchange.in.substr(0, size);
       exchange.in.erase(0, size);
       exchange.statuses.push_back(std::stoi(message.substr(9, 3)));
       exchange.bodies.push_back(message.substr(message.find("\r\n\r\n") + 4));
     }
-    if (exchange.statuses.size() < exchange.requests.size()) return;
-    if (exchange.keeps_open) exchange.is_over = true;
-    else end(exchange, Trouble::close);
+    if (exchange.statuses.size() < exchange.requests.size())
+      return;
+    if (exchange.keeps_open)
+      exchange.is_over = true;
+    else
+      end(exchange, Trouble::close);
   }
   static void end(Exchange& exchange, Trouble how) {
     exchange.is_over = true;
@@ -294,28 +358,39 @@
     drop(socket, how);
   }
   static void send_all(int socket, const std::string& bytes) {
-    if (!bytes.empty()) (void)!::send(socket, bytes.data(), bytes.size(), MSG_NOSIGNAL);
+    if (!bytes.empty())
+      (void)!::send(socket, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
   void serve(int socket) {
     Line& line = lines_[socket];
     std::string bytes(65536, '\0');
-    const auto take = [&](std::size_t most, int how) {  // false: nothing more for now, or it has ended
-      const auto got = ::recv(socket, bytes.data(), std::min(most, bytes.size()), how | MSG_DONTWAIT);
-      if (got <= 0 && !(got < 0 && errno == EAGAIN)) lose(socket, Trouble::close);
+    const auto take = [&](std::size_t most,
+                          int how) {  // false: nothing more for now, or it has ended
+      const auto got =
+          ::recv(socket, bytes.data(), std::min(most, bytes.size()), how | MSG_DONTWAIT);
+      if (got <= 0 && !(got < 0 && errno == EAGAIN))
+        lose(socket, Trouble::close);
       bytes.resize(got > 0 ? static_cast<std::size_t>(got) : 0);
       return got > 0;
     };
-    if (line.is_mute) return (void)take(bytes.size(), 0);
+    if (line.is_mute)
+      return (void)take(bytes.size(), 0);
     if (!line.size) {  // which request it is decides how much of it is read
-      if (!take(bytes.size(), MSG_PEEK)) return;
+      if (!take(bytes.size(), MSG_PEEK))
+        return;
       const auto end = bytes.find("\r\n\r\n");
-      if (end == std::string::npos) return;
+      if (end == std::string::npos)
+        return;
       line.end_of_head = end + 2;
-      const std::string head = bytes.substr(0, line.end_of_head), length = value_of(head, "Content-Length");
+      const std::string head = bytes.substr(0, line.end_of_head),
+                        length = value_of(head, "Content-Length");
       line.size = end + 4 + (length.empty() ? 0 : std::stoul(length));
       line.try_id = value_of(head, "Try-Id");
       const auto planned = plans.find(line.try_id);
-      line.plan = planned != plans.end() && (planned->second.is_everywhere || !reached_.contains(line.try_id)) ? planned->second : Plan{};
+      line.plan = planned != plans.end() &&
+                          (planned->second.is_everywhere || !reached_.contains(line.try_id))
+                      ? planned->second
+                      : Plan{};
       reached_.insert(line.try_id);
     }
     const Plan plan = line.plan;
@@ -323,25 +398,36 @@
     const std::size_t most = fails_early ? std::min(plan.point, line.size) : line.size;
     if (line.in.size() < most) {
       bytes.resize(65536);
-      if (!take(most - line.in.size(), 0)) return;
+      if (!take(most - line.in.size(), 0))
+        return;
       line.in += bytes;
-      if (line.in.size() < most) return;
+      if (line.in.size() < most)
+        return;
     }
     const std::string try_id = line.try_id, read = std::exchange(line.in, {});
-    if (read.size() == line.size && !plan.is_refused) runs_[try_id].push_back({line.backend, read.substr(0, line.end_of_head), read.substr(line.end_of_head + 2)});
+    if (read.size() == line.size && !plan.is_refused)
+      runs_[try_id].push_back(
+          {line.backend, read.substr(0, line.end_of_head), read.substr(line.end_of_head + 2)});
     line.size = 0;
     send_all(socket, std::exchange(line.late_surplus, plan.late_surplus));
-    bool is_whole = false;  // behind a whole answer a silence is the next request's, and that has a plan of its own
+    bool is_whole = false;  // behind a whole answer a silence is the next request's, and that has a
+                            // plan of its own
     if (!fails_early) {
-      std::string answer = plan.is_refused ? not_run_answer(try_id) : good_answer(try_id, line.backend);
+      std::string answer =
+          plan.is_refused ? not_run_answer(try_id) : good_answer(try_id, line.backend);
       is_whole = plan.trouble == Trouble::none || plan.point >= answer.size();
-      if (!is_whole) answer.resize(plan.point);
+      if (!is_whole)
+        answer.resize(plan.point);
       send_all(socket, answer + plan.surplus);
     }
-    if (plan.trouble != Trouble::none) met_.insert(try_id);
-    if (plan.trouble != Trouble::none && !(plan.trouble == Trouble::silence && is_whole)) strikes_[{line.backend, line.port, try_id}] = {is_whole};
-    if (plan.trouble == Trouble::silence) line.is_mute = !is_whole;
-    else if (plan.trouble != Trouble::none) lose(socket, plan.trouble);
+    if (plan.trouble != Trouble::none)
+      met_.insert(try_id);
+    if (plan.trouble != Trouble::none && !(plan.trouble == Trouble::silence && is_whole))
+      strikes_[{line.backend, line.port, try_id}] = {is_whole};
+    if (plan.trouble == Trouble::silence)
+      line.is_mute = !is_whole;
+    else if (plan.trouble != Trouble::none)
+      lose(socket, plan.trouble);
   }
 
   std::vector<Door> doors_;
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -17,49 +17,65 @@
 
 Case case_of(const std::string& try_id, bool is_once) {
   Case made{try_id, {}, is_once ? "what " + try_id + " wants" : "", is_once};
-  made.request = request_of(is_once ? "POST" : "GET", (is_once ? "/once/" : "/free/") + try_id + "?q=1", try_id, made.body);
+  made.request = request_of(is_once ? "POST" : "GET",
+                            (is_once ? "/once/" : "/free/") + try_id + "?q=1", try_id, made.body);
   return made;
 }
 
-// None to the wrong caller, none that may not be repeated twice, none changed, none on more backends than its tries.
+// None to the wrong caller, none that may not be repeated twice, none changed, none on more
+// backends than its tries.
 void check(BrokerStage& stage, const Case& played, const Exchange& came) {
   const char* name = played.try_id.c_str();
   const auto& runs = stage.runs(played.try_id);
   for (const Run& run : runs) {
-    const std::string line = (played.is_once ? "POST /once/" : "GET /free/") + played.try_id + "?q=1 HTTP/1.1\r\n";
-    cr_expect(run.head.starts_with(line) && value_of(run.head, "Host") == "h" && run.body == played.body, "%s was changed", name);
+    const std::string line =
+        (played.is_once ? "POST /once/" : "GET /free/") + played.try_id + "?q=1 HTTP/1.1\r\n";
+    cr_expect(
+        run.head.starts_with(line) && value_of(run.head, "Host") == "h" && run.body == played.body,
+        "%s was changed", name);
   }
   cr_expect(!played.is_once || runs.size() <= 1, "%s ran %zu times", name, runs.size());
-  cr_expect(stage.backends_of(played.try_id) <= 2, "%s ran on %zu backends", name, stage.backends_of(played.try_id));
+  cr_expect(stage.backends_of(played.try_id) <= 2, "%s ran on %zu backends", name,
+            stage.backends_of(played.try_id));
   for (std::size_t index = 0; index < came.statuses.size(); ++index) {
     const int status = came.statuses[index];
-    if (status == 200) cr_expect(came.bodies[index].starts_with("to " + played.try_id + " by "), "%s got %s", name, came.bodies[index].c_str());
-    else if (played.is_once && (status == 503 || status == 429 || status == 408 || status == 421)) cr_expect(runs.empty(), "%s was promised not to have run", name);
+    if (status == 200)
+      cr_expect(came.bodies[index].starts_with("to " + played.try_id + " by "), "%s got %s", name,
+                came.bodies[index].c_str());
+    else if (played.is_once && (status == 503 || status == 429 || status == 408 || status == 421))
+      cr_expect(runs.empty(), "%s was promised not to have run", name);
   }
   cr_expect(came.in.empty(), "%s got bytes that are no answer", name);
 }
 
-void play_cases(BrokerStage& stage, const std::vector<Case>& cases, std::vector<Exchange>& exchanges) {
+void play_cases(BrokerStage& stage, const std::vector<Case>& cases,
+                std::vector<Exchange>& exchanges) {
   exchanges.assign(cases.size(), {});
-  for (std::size_t index = 0; index < cases.size(); ++index) exchanges[index].requests = {cases[index].request};
+  for (std::size_t index = 0; index < cases.size(); ++index)
+    exchanges[index].requests = {cases[index].request};
   stage.play(exchanges);
   stage.settle();
-  for (std::size_t index = 0; index < cases.size(); ++index) check(stage, cases[index], exchanges[index]);
+  for (std::size_t index = 0; index < cases.size(); ++index)
+    check(stage, cases[index], exchanges[index]);
 }
 
-// Why an asking brought no answer, by what the stage did: struck itself, or over a connection that had ended behind the
-// answer before. Empty: for no reason that is known.
+// Why an asking brought no answer, by what the stage did: struck itself, or over a connection that
+// had ended behind the answer before. Empty: for no reason that is known.
 std::string reason_of(const BrokerStage& stage, const AskingLog::Asking& asking) {
   const Strike* own = stage.strike_at({asking.backend, asking.port, asking.try_id});
-  if (own && !own->is_whole && asking.has_sent) return "struck";
+  if (own && !own->is_whole && asking.has_sent)
+    return "struck";
   const Strike* before = stage.strike_at({asking.backend, asking.port, asking.before});
-  if (before && before->is_whole && asking.is_reused && asking.has_sent && asking.has_broken_down) return "ended before";
+  if (before && before->is_whole && asking.is_reused && asking.has_sent && asking.has_broken_down)
+    return "ended before";
   return "";
 }
 
-// Each try of a request that was not served has to be accounted for. Which connection comes next is chance, and an end that
-// is on its way while a request leaves cannot be known: such a try may be lost, and with it the request.
-void check_unserved(const BrokerStage& stage, const AskingLog& log, const std::string& try_id, int status) {
+// Each try of a request that was not served has to be accounted for. Which connection comes next is
+// chance, and an end that is on its way while a request leaves cannot be known: such a try may be
+// lost, and with it the request.
+void check_unserved(const BrokerStage& stage, const AskingLog& log, const std::string& try_id,
+                    int status) {
   const auto askings = log.of(try_id);
   std::string told;
   bool is_accounted_for = askings.size() == BrokerStage::tries;
@@ -84,8 +100,11 @@
     play_cases(stage, cases, exchanges);
     for (std::size_t index = 0; index < cases.size(); ++index)
       if (const std::string& try_id = cases[index].try_id; !cases[index].is_once) {
-        if (exchanges[index].status() != 200) check_unserved(stage, log, try_id, exchanges[index].status());
-        else cr_expect(stage.has_met(try_id), "%s was served without having met its plan", try_id.c_str());
+        if (exchanges[index].status() != 200)
+          check_unserved(stage, log, try_id, exchanges[index].status());
+        else
+          cr_expect(stage.has_met(try_id), "%s was served without having met its plan",
+                    try_id.c_str());
       }
     cases.clear();
   };
@@ -93,14 +112,19 @@
     for (const bool is_in_answer : {false, true})
       for (std::size_t point = 0; point < most_points; ++point)
         for (const bool is_once : {false, true}) {
-          const std::string try_id = std::to_string(static_cast<int>(trouble)) + (is_in_answer ? "a" : "r") + (is_once ? "o" : "f") + std::to_string(point);
+          const std::string try_id = std::to_string(static_cast<int>(trouble)) +
+                                     (is_in_answer ? "a" : "r") + (is_once ? "o" : "f") +
+                                     std::to_string(point);
           cases.push_back(case_of(try_id, is_once));
           stage.plans[try_id] = {trouble, is_in_answer, point};
-          if (cases.size() == 230) play();
+          if (cases.size() == 230)
+            play();
         }
-  if (!cases.empty()) play();
+  if (!cases.empty())
+    play();
   for (const auto& [try_id, runs] : stage.all_runs())
-    cr_expect(stage.plans.contains(try_id) || try_id.starts_with("warm-"), "nobody sent %s", try_id.c_str());
+    cr_expect(stage.plans.contains(try_id) || try_id.starts_with("warm-"), "nobody sent %s",
+              try_id.c_str());
 }
 
 Test(exchange, no_try_runs_on_more_backends_than_its_route_allows) {
@@ -116,7 +140,8 @@
       }
   play_cases(stage, cases, exchanges);
   for (std::size_t index = 0; index < cases.size(); ++index)
-    cr_expect(!cases[index].is_once || !stage.runs(cases[index].try_id).empty(), "it reached somebody");
+    cr_expect(!cases[index].is_once || !stage.runs(cases[index].try_id).empty(),
+              "it reached somebody");
 }
 
 // Bodies that a socket does not take at once: part of them has left when the connection ends.
@@ -129,18 +154,23 @@
       for (const bool is_once : {false, true}) {
         Case large = case_of("large" + std::to_string(cases.size()), is_once);
         large.body = std::string(200000, 'x') + large.try_id;
-        large.request = request_of(is_once ? "POST" : "GET", (is_once ? "/once/" : "/free/") + large.try_id + "?q=1", large.try_id, large.body);
+        large.request = request_of(is_once ? "POST" : "GET",
+                                   (is_once ? "/once/" : "/free/") + large.try_id + "?q=1",
+                                   large.try_id, large.body);
         stage.plans[large.try_id] = {trouble, false, point};
         cases.push_back(large);
       }
   play_cases(stage, cases, exchanges);
   for (std::size_t index = 0; index < cases.size(); ++index) {
-    cr_expect(!cases[index].is_once || stage.runs(cases[index].try_id).empty(), "it came to its first backend in part only");
-    cr_expect(exchanges[index].status() == 200 || cases[index].is_once, "%s got %d", cases[index].try_id.c_str(), exchanges[index].status());
+    cr_expect(!cases[index].is_once || stage.runs(cases[index].try_id).empty(),
+              "it came to its first backend in part only");
+    cr_expect(exchanges[index].status() == 200 || cases[index].is_once, "%s got %d",
+              cases[index].try_id.c_str(), exchanges[index].status());
   }
 }
 
-// A second answer, one to another request, one of nobody's: none of them is taken for the next one's, nor for its own.
+// A second answer, one to another request, one of nobody's: none of them is taken for the next
+// one's, nor for its own.
 Test(exchange, surplus_answers_reach_nobody) {
   BrokerStage stage(2);
   std::vector<Case> cases;
@@ -149,10 +179,17 @@
     for (int number = 0; number < 40; ++number) {
       const std::string try_id = "s" + std::to_string(round) + "-" + std::to_string(number);
       cases.push_back(case_of(try_id, number % 2));
-      const std::vector<std::string> kinds{good_answer(try_id, "twice"), good_answer("other", "twice"), not_run_answer(try_id), not_run_answer({}),
-                                           "HTTP/1.1 200 OK\r\nAnswer-Seal: x\r\nContent-Length: 2\r\n\r\nno", "no answer at all\r\n\r\n", "HTTP/1.1 200 OK\r\nTry-Id: cut"};
+      const std::vector<std::string> kinds{
+          good_answer(try_id, "twice"),
+          good_answer("other", "twice"),
+          not_run_answer(try_id),
+          not_run_answer({}),
+          "HTTP/1.1 200 OK\r\nAnswer-Seal: x\r\nContent-Length: 2\r\n\r\nno",
+          "no answer at all\r\n\r\n",
+          "HTTP/1.1 200 OK\r\nTry-Id: cut"};
       Plan& plan = stage.plans[try_id];
-      (round % 2 ? plan.surplus : plan.late_surplus) = kinds[static_cast<std::size_t>(number) % kinds.size()];
+      (round % 2 ? plan.surplus : plan.late_surplus) =
+          kinds[static_cast<std::size_t>(number) % kinds.size()];
     }
     play_cases(stage, cases, exchanges);
     cases.clear();
@@ -171,7 +208,8 @@
   cr_expect(came.status() == 502 && stage.runs("second").size() == 1);
 }
 
-// Turned away and asked again at the only backend: the refusal's second copy must not be taken for the new asking's answer.
+// Turned away and asked again at the only backend: the refusal's second copy must not be taken for
+// the new asking's answer.
 Test(exchange, a_request_is_never_asked_twice_over_one_connection) {
   BrokerStage stage(1);
   const Case once = case_of("again", true);
@@ -183,24 +221,29 @@
   cr_expect(came.status() == 200 && stage.runs("again").size() == 1, "%d", came.status());
 }
 
-// A surplus answer that was cut runs together with its own, and its copy looks like a refusal behind a surplus one.
+// A surplus answer that was cut runs together with its own, and its copy looks like a refusal
+// behind a surplus one.
 Test(exchange, behind_a_surplus_answer_no_refusal_is_believed) {
   BrokerStage stage(1);
-  for (const char* surplus : {"HTTP/1.1 200 OK\r\nTry-Id: cut", "HTTP/1.1 200 OK\r\nTry-Id: other\r\nContent-Length: 0\r\n\r\n"}) {
+  for (const char* surplus : {"HTTP/1.1 200 OK\r\nTry-Id: cut",
+                              "HTTP/1.1 200 OK\r\nTry-Id: other\r\nContent-Length: 0\r\n\r\n"}) {
     const std::string name = std::string(surplus).size() < 40 ? "cut" : "whole";
-    stage.plans["before-" + name].late_surplus = surplus + (name == "whole" ? not_run_answer(name) : "");
+    stage.plans["before-" + name].late_surplus =
+        surplus + (name == "whole" ? not_run_answer(name) : "");
     stage.plans[name].surplus = not_run_answer(name);
     cr_assert(stage.ask(case_of("before-" + name, false).request).status() == 200);
     const Case once = case_of(name, true);
     const Exchange came = stage.ask(once.request);
     stage.settle();
     check(stage, once, came);
-    cr_expect(came.status() == 502 && stage.runs(name).size() == 1, "%s: %d", name.c_str(), came.status());
+    cr_expect(came.status() == 502 && stage.runs(name).size() == 1, "%s: %d", name.c_str(),
+              came.status());
   }
 }
 
-// While the broker stood still its connections to the backends ended, and requests came. They are served over new ones,
-// whichever of the two is seen first; `check_round`: whether the breakdowns counted meanwhile are as they may be.
+// While the broker stood still its connections to the backends ended, and requests came. They are
+// served over new ones, whichever of the two is seen first; `check_round`: whether the breakdowns
+// counted meanwhile are as they may be.
 template <class CheckRound>
 void wake_to_ended_connections(int backends, bool is_once, const CheckRound& check_round) {
   BrokerStage stage(backends);
@@ -208,13 +251,16 @@
     std::vector<Exchange> clients(8);
     for (std::size_t number = 0; number < clients.size(); ++number) {
       clients[number].keeps_open = true;
-      clients[number].requests = {case_of("w" + std::to_string(round * 8 + static_cast<int>(number)), false).request};
+      clients[number].requests = {
+          case_of("w" + std::to_string(round * 8 + static_cast<int>(number)), false).request};
     }
     stage.play(clients);
     stage.freeze();
     stage.end_lines();
     for (std::size_t number = 0; number < clients.size(); ++number)
-      stage.add(clients[number], case_of("z" + std::to_string(round * 8 + static_cast<int>(number)), is_once).request);
+      stage.add(
+          clients[number],
+          case_of("z" + std::to_string(round * 8 + static_cast<int>(number)), is_once).request);
     const auto breakdowns = metrics().get(Metric::breakdowns);
     stage.resume();
     stage.play(clients);
@@ -230,12 +276,15 @@
   wake_to_ended_connections(1, true, [](int, auto) {});
 }
 
-// The same for what may be repeated: an end that could be known costs none of its tries, and its allowance nothing.
+// The same for what may be repeated: an end that could be known costs none of its tries, and its
+// allowance nothing.
 Test(exchange, ended_connections_cost_no_request_a_try) {
-  wake_to_ended_connections(2, false, [](int round, auto breakdowns) { cr_expect(breakdowns == 0, "round %d", round); });
+  wake_to_ended_connections(
+      2, false, [](int round, auto breakdowns) { cr_expect(breakdowns == 0, "round %d", round); });
 }
 
-// Clients that leave at each byte of their request or of the answer, beside others that take their places.
+// Clients that leave at each byte of their request or of the answer, beside others that take their
+// places.
 Test(exchange, a_client_that_left_costs_no_other_its_answer) {
   BrokerStage stage(2);
   const std::size_t size = case_of("l-000", true).request.size();
@@ -245,23 +294,29 @@
       std::vector<Exchange> exchanges;
       for (std::size_t point = from; point < from + 40; ++point) {
         const std::string number = std::to_string(1000 + point).substr(1);
-        for (const char* kind : {"l-", "k-", "n-"}) {  // leaves while sending, while reading, not at all
+        for (const char* kind :
+             {"l-", "k-", "n-"}) {  // leaves while sending, while reading, not at all
           cases.push_back(case_of((is_once ? "o" : "f") + std::string(kind) + number, is_once));
           Exchange& exchange = exchanges.emplace_back();
           exchange.requests = {cases.back().request};
-          if (kind[0] == 'l') exchange.leaves_after = point;
-          if (kind[0] == 'k') exchange.reads_at_most = point + 1;
+          if (kind[0] == 'l')
+            exchange.leaves_after = point;
+          if (kind[0] == 'k')
+            exchange.reads_at_most = point + 1;
         }
       }
       stage.play(exchanges);
       stage.settle();
       for (std::size_t index = 0; index < cases.size(); ++index) {
         const bool stayed = cases[index].try_id[1] == 'n';
-        if (!stayed) exchanges[index].in.clear();
+        if (!stayed)
+          exchanges[index].in.clear();
         check(stage, cases[index], exchanges[index]);
-        cr_expect(!stayed || exchanges[index].status() == 200, "%s got %d", cases[index].try_id.c_str(), exchanges[index].status());
+        cr_expect(!stayed || exchanges[index].status() == 200, "%s got %d",
+                  cases[index].try_id.c_str(), exchanges[index].status());
         const bool sent_whole = exchanges[index].leaves_after >= cases[index].request.size();
-        cr_expect(sent_whole || stage.runs(cases[index].try_id).empty(), "%s ran without having come whole", cases[index].try_id.c_str());
+        cr_expect(sent_whole || stage.runs(cases[index].try_id).empty(),
+                  "%s ran without having come whole", cases[index].try_id.c_str());
       }
     }
 }
@@ -273,36 +328,46 @@
   std::vector<std::vector<Case>> cases(exchanges.size());
   for (std::size_t line = 0; line < exchanges.size(); ++line)
     for (std::size_t number = 0; number < 8; ++number) {
-      cases[line].push_back(case_of("p" + std::to_string(line) + "-" + std::to_string(number), number % 3 == 1));
+      cases[line].push_back(
+          case_of("p" + std::to_string(line) + "-" + std::to_string(number), number % 3 == 1));
       exchanges[line].requests.push_back(cases[line].back().request);
-      if (number == 2) stage.plans[cases[line].back().try_id] = {Trouble::reset, line % 2 == 0, line * 5};
+      if (number == 2)
+        stage.plans[cases[line].back().try_id] = {Trouble::reset, line % 2 == 0, line * 5};
     }
   stage.play(exchanges);
   stage.settle();
   for (std::size_t line = 0; line < exchanges.size(); ++line) {
-    cr_assert(exchanges[line].statuses.size() == 8, "line %zu: %zu answers", line, exchanges[line].statuses.size());
+    cr_assert(exchanges[line].statuses.size() == 8, "line %zu: %zu answers", line,
+              exchanges[line].statuses.size());
     for (std::size_t number = 0; number < 8; ++number) {
       Exchange one;
       one.statuses = {exchanges[line].statuses[number]};
       one.bodies = {exchanges[line].bodies[number]};
       check(stage, cases[line][number], one);
       std::string told;
-      for (const AskingLog::Asking& asking : log.of(cases[line][number].try_id)) told += "; " + asking.text() + ": " + reason_of(stage, asking);
-      cr_expect(one.status() == 200, "%s got %d%s", cases[line][number].try_id.c_str(), one.status(), told.c_str());
+      for (const AskingLog::Asking& asking : log.of(cases[line][number].try_id))
+        told += "; " + asking.text() + ": " + reason_of(stage, asking);
+      cr_expect(one.status() == 200, "%s got %d%s", cases[line][number].try_id.c_str(),
+                one.status(), told.c_str());
     }
   }
 }
 
-// As many as wait behind one at work, each answered at once when its turn comes, on a stack that holds but a few of them.
+// As many as wait behind one at work, each answered at once when its turn comes, on a stack that
+// holds but a few of them.
 Test(exchange, thousands_of_pipelined_requests_wait_behind_one_at_work) {
   pthread_attr_t small;
-  cr_assert(::pthread_attr_init(&small) == 0 && ::pthread_attr_setstacksize(&small, 512 << 10) == 0 && ::pthread_setattr_default_np(&small) == 0);
+  cr_assert(::pthread_attr_init(&small) == 0 &&
+            ::pthread_attr_setstacksize(&small, 512 << 10) == 0 &&
+            ::pthread_setattr_default_np(&small) == 0);
   BrokerStage stage(2);
   std::vector<Exchange> exchanges(1);
   exchanges[0].requests = {case_of("slow", false).request};
   stage.plans["slow"] = {Trouble::silence, true, 0};
-  for (int count = 0; count < 2500; ++count) exchanges[0].requests.push_back("GET / HTTP/1.1\r\nHost:h\r\n\r\n");
+  for (int count = 0; count < 2500; ++count)
+    exchanges[0].requests.push_back("GET / HTTP/1.1\r\nHost:h\r\n\r\n");
   stage.play(exchanges);
   cr_assert(exchanges[0].statuses.size() == 2501, "%zu", exchanges[0].statuses.size());
-  cr_expect(exchanges[0].status() == 200 && std::count(exchanges[0].statuses.begin(), exchanges[0].statuses.end(), 404) == 2500);
+  cr_expect(exchanges[0].status() == 200 &&
+            std::count(exchanges[0].statuses.begin(), exchanges[0].statuses.end(), 404) == 2500);
 }
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -1,4 +1,5 @@
-// Who leads a database: a small world of databases, poolers and a core, with crashes and lost answers at every step.
+// Who leads a database: a small world of databases, poolers and a core, with crashes and lost
+// answers at every step.
 #include <criterion/criterion.h>
 
 #include <set>
@@ -28,32 +29,42 @@
     bool is_silent = false, sees_failing = false;
   };
   explicit World(int sync = 0) : sync(sync) {
-    for (const char* id : {"a", "b", "c"}) databases.push_back({id});
+    for (const char* id : {"a", "b", "c"})
+      databases.push_back({id});
     databases[0].is_leader = true;
     poolers = {{"p1", "north"}, {"p2", "south"}, {"p3", "south"}};
     restart();
   }
-  void restart() { failover = std::make_unique<Failover>(options); }
+  void restart() {
+    failover = std::make_unique<Failover>(options);
+  }
   Database& at(const std::string& id) {
     for (Database& database : databases)
-      if (database.id == id) return database;
+      if (database.id == id)
+        return database;
     return databases[0];
   }
   // One step of 50 ms. Points are numbered: every order, call of duty and proposal is one.
   void step() {
     now += 50ms;
     for (Database& database : databases)
-      if (database.is_up && database.is_beating && now - database.beaten >= 1000ms) database.beaten = now;
+      if (database.is_up && database.is_beating && now - database.beaten >= 1000ms)
+        database.beaten = now;
     std::vector<DatabaseSeat> seats;
     for (const Database& database : databases)
-      seats.push_back({database.id, "db", "here", database.is_leader, database.is_ready, database.beaten});
+      seats.push_back(
+          {database.id, "db", "here", database.is_leader, database.is_ready, database.beaten});
     for (Pooler& pooler : poolers) {
-      if (pooler.is_silent || now < pooler.due) continue;
+      if (pooler.is_silent || now < pooler.due)
+        continue;
       pooler.due = now + 200ms;
       const std::string bit(1, '\1');
-      failover->note_pooler(pooler.name, pooler.life, pooler.table.mark, pooler.locality, pooler.sees_failing ? bit : "", pooler.sees_failing ? "" : bit, now);
-      if (const auto hold = failover->grant(pooler.name, pooler.life, now)) pooler.until = now + *hold - 20ms;  // asked before
-      if (agreed.mark > pooler.table.mark) pooler.table = agreed;
+      failover->note_pooler(pooler.name, pooler.life, pooler.table.mark, pooler.locality,
+                            pooler.sees_failing ? bit : "", pooler.sees_failing ? "" : bit, now);
+      if (const auto hold = failover->grant(pooler.name, pooler.life, now))
+        pooler.until = now + *hold - 20ms;  // asked before
+      if (agreed.mark > pooler.table.mark)
+        pooler.table = agreed;
     }
     failover->tick(true, agreed, {{"db", sync}}, seats, now);
     Failover::Output output = failover->take();
@@ -65,8 +76,11 @@
       Database& database = at(order.id);
       std::optional<DatabaseStatus> status;
       if (database.is_up) {
-        if (order.text.starts_with("STEPDOWN ") && std::stoull(order.text.substr(9)) > database.term) database.is_leader = false;
-        status = DatabaseStatus{database.is_leader, database.term, {database.term, database.number}};
+        if (order.text.starts_with("STEPDOWN ") &&
+            std::stoull(order.text.substr(9)) > database.term)
+          database.is_leader = false;
+        status =
+            DatabaseStatus{database.is_leader, database.term, {database.term, database.number}};
       }
       failover->finish_order(order.token, status, now);
     }
@@ -75,9 +89,12 @@
       // Nobody may still act by the old lead, and what was acknowledged must be there.
       for (const Pooler& pooler : poolers) {
         const Lead* lead = pooler.table.find("db");
-        cr_assert(!lead || lead->phase != Lead::Phase::led || pooler.until < now, "%s may still use the old leader", pooler.name.c_str());
+        cr_assert(!lead || lead->phase != Lead::Phase::led || pooler.until < now,
+                  "%s may still use the old leader", pooler.name.c_str());
       }
-      if (is_planned || sync) cr_assert(at(raise.id).number >= acknowledged, "%s lacks what was acknowledged", raise.id.c_str());
+      if (is_planned || sync)
+        cr_assert(at(raise.id).number >= acknowledged, "%s lacks what was acknowledged",
+                  raise.id.c_str());
       if (is_struck()) {  // neither effect nor answer
         failover->finish_raise(raise.token, 0, now);
         continue;
@@ -89,19 +106,25 @@
       }
       if (!target.is_leader) {
         std::uint64_t term = 0;
-        for (const Database& database : databases) term = std::max(term, database.term);
+        for (const Database& database : databases)
+          term = std::max(term, database.term);
         target.is_leader = true;
         target.term = term + 1;
       }
       failover->finish_raise(raise.token, is_struck() ? 0 : 200, now);
     }
     if (output.proposal) {
-      if (!is_struck()) agreed = *output.proposal;
-      if (is_struck()) restart();  // the core's leader ends right after
-      else failover->finish_proposal();
+      if (!is_struck())
+        agreed = *output.proposal;
+      if (is_struck())
+        restart();  // the core's leader ends right after
+      else
+        failover->finish_proposal();
     }
   }
-  bool is_struck() { return ++points == strike_at; }
+  bool is_struck() {
+    return ++points == strike_at;
+  }
   bool is_led_by(const std::string& id) const {
     const Lead* lead = agreed.find("db");
     return lead && lead->phase == Lead::Phase::led && lead->id == id;
@@ -109,16 +132,19 @@
   bool run_until(const std::function<bool()>& is_there, int steps = 600) {
     while (steps-- > 0) {
       step();
-      if (is_there()) return true;
+      if (is_there())
+        return true;
     }
     return false;
   }
   void settle() {
     cr_assert(run_until([&] { return is_led_by("a"); }));
-    for (int count = 0; count < 150; ++count) step();
+    for (int count = 0; count < 150; ++count)
+      step();
   }
   void see_failing(bool is_failing) {
-    for (Pooler& pooler : poolers) pooler.sees_failing = is_failing;
+    for (Pooler& pooler : poolers)
+      pooler.sees_failing = is_failing;
   }
 
   FailoverOptions options;
@@ -163,9 +189,11 @@
         world.at("c").number = 15;
         world.see_failing(true);
       }
-      cr_expect(world.run_until([&] { return world.is_led_by("c"); }), "strike %d, planned %d", strike, is_planned);
+      cr_expect(world.run_until([&] { return world.is_led_by("c"); }), "strike %d, planned %d",
+                strike, is_planned);
       int leaders = 0;
-      for (const auto& database : world.databases) leaders += database.is_up && database.is_leader && database.term == 2;
+      for (const auto& database : world.databases)
+        leaders += database.is_up && database.is_leader && database.term == 2;
       cr_expect(leaders == 1, "strike %d", strike);
     }
 }
@@ -176,7 +204,8 @@
   world.is_planned = true;
   world.at("a").number = world.acknowledged = 20;
   world.at("a").is_ready = false;
-  for (int count = 0; count < 15; ++count) world.step();
+  for (int count = 0; count < 15; ++count)
+    world.step();
   cr_expect(world.raises == 0);
   world.at("b").number = 20;
   cr_expect(world.run_until([&] { return world.is_led_by("b"); }));
@@ -188,7 +217,8 @@
   world.at("a").is_up = world.at("c").is_up = false;
   world.at("c").number = world.acknowledged = 30;  // it alone holds a commit
   world.see_failing(true);
-  for (int count = 0; count < 200; ++count) world.step();
+  for (int count = 0; count < 200; ++count)
+    world.step();
   cr_expect(world.raises == 0);
   world.at("c").is_up = true;
   cr_expect(world.run_until([&] { return world.is_led_by("c"); }));
@@ -209,18 +239,21 @@
   World silent;
   silent.settle();
   silent.at("a").is_beating = false;  // cut off from the core; poolers reach it
-  for (int count = 0; count < 200; ++count) silent.step();
+  for (int count = 0; count < 200; ++count)
+    silent.step();
   cr_expect(silent.is_led_by("a") && silent.raises == 0);
   World failing;
   failing.settle();
   failing.see_failing(true);
-  for (int count = 0; count < 200; ++count) failing.step();
+  for (int count = 0; count < 200; ++count)
+    failing.step();
   cr_expect(failing.is_led_by("a") && failing.raises == 0);
   World local;
   local.settle();
   local.at("a").is_beating = false;
   local.poolers[1].sees_failing = local.poolers[2].sees_failing = true;  // one locality alone
-  for (int count = 0; count < 200; ++count) local.step();
+  for (int count = 0; count < 200; ++count)
+    local.step();
   cr_expect(local.is_led_by("a") && local.raises == 0);
 }
 
@@ -230,7 +263,8 @@
   world.at("a").is_up = false;
   world.see_failing(true);
   world.poolers[2].is_silent = true;  // its hold keeps the change waiting
-  cr_expect(world.run_until([&] { return world.agreed.find("db")->phase == Lead::Phase::closing; }));
+  cr_expect(
+      world.run_until([&] { return world.agreed.find("db")->phase == Lead::Phase::closing; }));
   world.at("a").is_up = true;
   world.see_failing(false);
   cr_expect(world.run_until([&] { return world.is_led_by("a"); }));
