--- a/tests/feed_test.cpp
+++ b/tests/feed_test.cpp
@@ -1,4 +1,5 @@
-// A broker among registries of which some are cut off: what it serves by stays confirmed while that can be had.
+// A broker among registries of which some are cut off: what it serves by stays confirmed while that
+// can be had.
 #include <criterion/criterion.h>
 
 #include <algorithm>
@@ -47,15 +48,19 @@
   void ask(const std::string& address) {
     asked.insert(address);
     const auto found = registries.find(address);
-    if (found != registries.end() && found->second.is_up && found->second.hears) flying.push_back({now + way, address, feed.token(), false, {}});
+    if (found != registries.end() && found->second.is_up && found->second.hears)
+      flying.push_back({now + way, address, feed.token(), false, {}});
   }
   void choose() {
-    if (const auto chosen = feed.choose(now)) ask(*chosen);
-    if (feed.chosen() != last_feed) ++changes, last_feed = feed.chosen();
+    if (const auto chosen = feed.choose(now))
+      ask(*chosen);
+    if (feed.chosen() != last_feed)
+      ++changes, last_feed = feed.chosen();
   }
   void tell(const std::string& address) {
     Registry& registry = registries[address];
-    if (!registry.is_heard) return;
+    if (!registry.is_heard)
+      return;
     Beat beat;
     beat.term = Term{1};
     beat.asker = life;
@@ -72,10 +77,12 @@
   void run(Span span) {
     for (const Moment end = now + span; now < end; now += 10ms) {
       std::vector<Flying> came;
-      std::copy_if(flying.begin(), flying.end(), std::back_inserter(came), [&](const Flying& one) { return one.due <= now; });
+      std::copy_if(flying.begin(), flying.end(), std::back_inserter(came),
+                   [&](const Flying& one) { return one.due <= now; });
       std::erase_if(flying, [&](const Flying& one) { return one.due <= now; });
       for (const Flying& one : came) {
-        if (!registries[one.address].is_up) continue;
+        if (!registries[one.address].is_up)
+          continue;
         if (!one.is_answer) {
           registries[one.address].token = one.token;
           tell(one.address);
@@ -85,7 +92,8 @@
         feed.take(one.address, one.beat, now);
         feed.take_roster(one.address);
         serving = std::max(serving, one.beat.version);
-        if (!is_ready || !was_confirmed) choose();
+        if (!is_ready || !was_confirmed)
+          choose();
       }
       if (now >= due) {
         feed.turn(now);
@@ -93,18 +101,24 @@
         std::size_t place = 0;
         std::vector<std::string> to;
         for (const auto& [address, source] : feed.sources())
-          if (feed.should_ask(address, ++place, is_ready, now)) to.push_back(address);
-        for (const std::string& address : to) ask(address);
+          if (feed.should_ask(address, ++place, is_ready, now))
+            to.push_back(address);
+        for (const std::string& address : to)
+          ask(address);
         choose();
       }
       if (!is_ready && serving.value)
-        if ((how = feed.judge(serving, now)) != Feed::Ready::no) is_ready = true;
+        if ((how = feed.judge(serving, now)) != Feed::Ready::no)
+          is_ready = true;
     }
   }
   // How long until the feed is one with a majority behind it.
   Span until_confirmed(Span most) {
     const Moment began = now;
-    while (now - began < most && !(registries.contains(feed.chosen()) && registries[feed.chosen()].is_confirmed && feed.is_confirmed(feed.chosen(), now))) run(10ms);
+    while (now - began < most &&
+           !(registries.contains(feed.chosen()) && registries[feed.chosen()].is_confirmed &&
+             feed.is_confirmed(feed.chosen(), now)))
+      run(10ms);
     return span_between(began, now);
   }
 };
@@ -113,7 +127,8 @@
 
 World three() {
   World world;
-  for (const std::string& address : all) world.registries[address].registries = all;
+  for (const std::string& address : all)
+    world.registries[address].registries = all;
   world.registries["a:1"].locality = "here";
   world.registries["a:1"].region = "north";
   return world;
@@ -125,7 +140,8 @@
   World world = three();
   world.feed.set_seeds({"b:1"}, start);
   world.run(3s);
-  cr_expect(world.how == Feed::Ready::confirmed && world.feed.chosen() == "a:1", "it learnt of the near one from another");
+  cr_expect(world.how == Feed::Ready::confirmed && world.feed.chosen() == "a:1",
+            "it learnt of the near one from another");
   const int before = world.changes;
   world.run(20s);
   cr_expect(world.changes == before, "and stays with it");
@@ -147,7 +163,8 @@
   for (const bool has_majority : {true, false})
     for (const bool is_deaf : {true, false}) {
       World world = three();
-      for (auto& [address, registry] : world.registries) registry.is_confirmed = has_majority;
+      for (auto& [address, registry] : world.registries)
+        registry.is_confirmed = has_majority;
       world.feed.set_seeds(all, start);
       world.run(4s);
       cr_assert(world.feed.chosen() == "a:1");
@@ -157,28 +174,34 @@
         world.tell("a:1");
         world.run(100ms);
       }
-      cr_expect(span_between(cut, world.now) <= follow * 5, "majority %d, deaf %d", has_majority, is_deaf);
+      cr_expect(span_between(cut, world.now) <= follow * 5, "majority %d, deaf %d", has_majority,
+                is_deaf);
     }
 }
 
-// All its first contacts are on the wrong side: what they tell of is tried, and nothing known is dropped for it.
+// All its first contacts are on the wrong side: what they tell of is tried, and nothing known is
+// dropped for it.
 Test(feed, a_broker_started_on_the_wrong_side_finds_the_majority) {
   World world;
   const std::vector<std::string> core{"a:1", "b:1", "c:1", "d:1", "e:1"};
-  for (const std::string& address : core) world.registries[address].registries = core;
-  for (const char* cut : {"a:1", "b:1"}) world.registries[cut].is_confirmed = false, world.registries[cut].version = Version{4};
+  for (const std::string& address : core)
+    world.registries[address].registries = core;
+  for (const char* cut : {"a:1", "b:1"})
+    world.registries[cut].is_confirmed = false, world.registries[cut].version = Version{4};
   world.feed.set_seeds({"a:1", "b:1"}, start);
   world.run(1s);
   cr_expect(world.is_ready && world.how == Feed::Ready::confirmed && world.serving == Version{5});
   cr_expect(world.registries[world.feed.chosen()].is_confirmed);
-  cr_expect(world.feed.sources().contains("a:1") && world.feed.sources().contains("b:1"), "seeds are kept");
+  cr_expect(world.feed.sources().contains("a:1") && world.feed.sources().contains("b:1"),
+            "seeds are kept");
 }
 
 // The one that led is gone as well, and still counts as heard for a moment.
 Test(feed, a_ready_broker_whose_known_registries_are_all_cut_off_tries_what_they_tell_of) {
   for (int point = 0; point < 16; ++point) {
     World world;
-    for (const char* address : {"a:1", "b:1"}) world.registries[address].registries = {"a:1", "b:1"};
+    for (const char* address : {"a:1", "b:1"})
+      world.registries[address].registries = {"a:1", "b:1"};
     world.registries["a:1"].locality = "here";
     world.registries["b:1"].is_leader = true;
     world.feed.set_seeds({"a:1", "b:1"}, start);
@@ -189,8 +212,10 @@
     world.registries["a:1"].registries = {"a:1", "c:1"};
     world.registries["c:1"].registries = {"c:1"};
     const Moment cut = world.now;
-    while (world.feed.chosen() != "c:1" && world.now - cut < 10s) world.run(10ms);
-    cr_expect(world.now - cut <= follow * 5 + world.way * 4, "point %d: %d ms", point, static_cast<int>(span_between(cut, world.now).count()));
+    while (world.feed.chosen() != "c:1" && world.now - cut < 10s)
+      world.run(10ms);
+    cr_expect(world.now - cut <= follow * 5 + world.way * 4, "point %d: %d ms", point,
+              static_cast<int>(span_between(cut, world.now).count()));
     cr_expect(world.feed.chosen() == "c:1" && world.feed.sources().contains("a:1"));
   }
 }
@@ -202,7 +227,8 @@
   world.registries["a:1"].is_up = false;
   world.feed.set_seeds({}, world.now);
   world.run(4s);
-  cr_expect(world.feed.chosen() == "b:1" || world.feed.chosen() == "c:1", "%s", world.feed.chosen().c_str());
+  cr_expect(world.feed.chosen() == "b:1" || world.feed.chosen() == "c:1", "%s",
+            world.feed.chosen().c_str());
   cr_expect(world.feed.is_confirmed(world.feed.chosen(), world.now));
   // One that knows nobody better tells of nobody: nothing is forgotten.
   world.registries["b:1"].is_confirmed = world.registries["c:1"].is_confirmed = false;
@@ -215,7 +241,8 @@
 
 Test(feed, without_any_majority_a_broker_is_ready_late_and_then_finds_it) {
   World world = three();
-  for (auto& [address, registry] : world.registries) registry.is_confirmed = false;
+  for (auto& [address, registry] : world.registries)
+    registry.is_confirmed = false;
   world.feed.set_seeds({"b:1"}, start);
   world.run(unconfirmed_wait - 50ms);
   cr_expect(!world.is_ready);
@@ -225,7 +252,8 @@
   cr_expect(world.until_confirmed(5s) <= follow + world.way * 4);
 }
 
-// The only contact answers late: what it tells of is tried before the broker goes by its word, but not for ever.
+// The only contact answers late: what it tells of is tried before the broker goes by its word, but
+// not for ever.
 Test(feed, what_is_learnt_late_is_waited_for_once) {
   World world = three();
   world.registries["b:1"].is_confirmed = false;
--- a/tests/fence_test.cpp
+++ b/tests/fence_test.cpp
@@ -1,4 +1,5 @@
-// Nobody obeys an old leader: cut off, or frozen and thawed with everything that came meanwhile still to be read.
+// Nobody obeys an old leader: cut off, or frozen and thawed with everything that came meanwhile
+// still to be read.
 #include <criterion/criterion.h>
 
 #include <optional>
@@ -40,10 +41,12 @@
 Test(fence, an_answer_counts_from_its_asking_and_only_in_the_life_that_asked) {
   Askings askings(LifeId{7});
   const std::uint64_t first = askings.ask(start), second = askings.ask(start + 400ms);
-  cr_expect(askings.find(LifeId{7}, first) == start && askings.find(LifeId{7}, second) == start + 400ms);
+  cr_expect(askings.find(LifeId{7}, first) == start &&
+            askings.find(LifeId{7}, second) == start + 400ms);
   cr_expect(!askings.find(LifeId{6}, first), "a former life counted its tokens anew");
   cr_expect(!askings.find(LifeId{7}, second + 1) && !askings.find(LifeId{7}, 0));
-  for (int count = 0; count < 200; ++count) askings.ask(start + 1s);
+  for (int count = 0; count < 200; ++count)
+    askings.ask(start + 1s);
   cr_expect(!askings.find(LifeId{7}, first), "one that isn't known any more counts for nothing");
 }
 
@@ -55,13 +58,15 @@
   // One more answer of the old leader stays in its buffers for twenty seconds.
   const Beat late = beat_of(1, true, LifeId{7}, token);
   token = feed.turn(start + 20s);
-  cr_expect(!feed.take("other:1", beat_of(2, false, LifeId{7}, token), start + 20010ms).is_steering, "a follower tells of the new term");
+  cr_expect(!feed.take("other:1", beat_of(2, false, LifeId{7}, token), start + 20010ms).is_steering,
+            "a follower tells of the new term");
   const Feed::Heard thawed = feed.take("old:1", late, start + 20020ms);
   cr_expect(!thawed.is_steering && !thawed.asked);
   // It also answers what it was asked just now, before it hears that it does not lead any more.
   cr_expect(!feed.take("old:1", beat_of(1, true, LifeId{7}, token), start + 20030ms).is_steering);
   cr_expect(feed.take("new:1", beat_of(2, true, LifeId{7}, token), start + 20040ms).is_steering);
-  for (const auto& [address, source] : feed.sources()) cr_expect(feed.is_leader(source) == (address == "new:1"));
+  for (const auto& [address, source] : feed.sources())
+    cr_expect(feed.is_leader(source) == (address == "new:1"));
 }
 
 // Also one that hears nobody but the old leader: an answer is as old as its asking.
@@ -72,8 +77,10 @@
   feed.turn(start + 20s);
   const Feed::Heard heard = feed.take("old:1", beat_of(1, true, LifeId{7}, token), start + 20s);
   cr_expect(!heard.is_steering && !heard.asked && !feed.is_confirmed("old:1", start + 20s));
-  cr_expect(!feed.take("old:1", beat_of(1, true, LifeId{6}, token + 1), start + 20s).asked, "meant for a former life");
-  cr_expect(feed.take("old:1", beat_of(1, true, LifeId{7}, token + 1), start + 20s).asked == start + 20s);
+  cr_expect(!feed.take("old:1", beat_of(1, true, LifeId{6}, token + 1), start + 20s).asked,
+            "meant for a former life");
+  cr_expect(feed.take("old:1", beat_of(1, true, LifeId{7}, token + 1), start + 20s).asked ==
+            start + 20s);
 }
 
 Test(fence, a_grant_of_tries_counts_from_the_asking_that_it_answers) {
@@ -88,8 +95,9 @@
   cr_expect(reserve.part(start + 1999ms) == 7 && reserve.part(start + 2001ms) == 0);
 }
 
-// A leader of a real core is frozen for twenty seconds at each point of its beat; meanwhile follows of a broker that reaches
-// nobody else pile up, and the core elects another. Whatever it then gives must be over before the new leader acts.
+// A leader of a real core is frozen for twenty seconds at each point of its beat; meanwhile follows
+// of a broker that reaches nobody else pile up, and the core elects another. Whatever it then gives
+// must be over before the new leader acts.
 Test(fence, a_frozen_leader_gives_nothing_that_lasts_into_the_next_one_s_time) {
   int given = 0;
   for (int point = 0; point < 24; ++point) {
@@ -111,7 +119,8 @@
       asked.push_back(feed.turn(cluster.now()));
       for (int step = 0; step < 80; ++step) {
         cluster.run(5ms);
-        if (!led_since && cluster.has_leader() && cluster.leader() != old) led_since = cluster.now();
+        if (!led_since && cluster.has_leader() && cluster.leader() != old)
+          led_since = cluster.now();
       }
     }
     cr_assert(led_since && cluster.at(cluster.leader()).agreement->term() > old_term);
@@ -123,14 +132,19 @@
     next_grants.lead(true, *led_since);
     Moment until{};
     Reserve reserve;
-    // The first was read just before the freeze, all others after it: the clock stood still for the process in between.
+    // The first was read just before the freeze, all others after it: the clock stood still for the
+    // process in between.
     std::size_t at = 0;
     Moment clock = frozen_at;
     take_each(
-        100, [&]() -> std::optional<std::size_t> { return at < asked.size() ? std::optional(at++) : std::nullopt; },
+        100,
+        [&]() -> std::optional<std::size_t> {
+          return at < asked.size() ? std::optional(at++) : std::nullopt;
+        },
         [&] { return std::exchange(clock, cluster.now()); },
         [&](std::size_t which, Moment came) {
-          if (!frozen.is_leased(came)) return;
+          if (!frozen.is_leased(came))
+            return;
           ++given;
           holders.note("broker", LifeId{7}, 1, came);
           until = std::max(until, asked_at[which] + holders.grant("broker", LifeId{7}, came));
@@ -138,14 +152,18 @@
         });
     cr_expect(frozen.is_leader(), "it does not know better yet");
     for (Moment now = *led_since; now < *led_since + 30s; now += 50ms) {
-      if (!next.is_held(2, now)) cr_assert(now >= until, "point %d: the new leader acts while a hold lasts", point);
-      if (next_grants.grant("other", LifeId{8}, 1, now) > 0) cr_assert(reserve.part(now) == 0, "point %d: tries are granted twice", point);
+      if (!next.is_held(2, now))
+        cr_assert(now >= until, "point %d: the new leader acts while a hold lasts", point);
+      if (next_grants.grant("other", LifeId{8}, 1, now) > 0)
+        cr_assert(reserve.part(now) == 0, "point %d: tries are granted twice", point);
     }
   }
-  cr_expect(given == 24, "what was read before the freeze is answered, nothing after it: %d", given);
+  cr_expect(given == 24, "what was read before the freeze is answered, nothing after it: %d",
+            given);
 }
 
-// Frames of a holder's former life come late, in between those of the new one: they end no hold of its.
+// Frames of a holder's former life come late, in between those of the new one: they end no hold of
+// its.
 Test(fence, a_late_word_of_a_former_life_ends_no_hold) {
   Holders holders(hold, settle);
   holders.reset(start - 60s);
@@ -173,5 +191,6 @@
   cr_expect(until > cluster.now() && until <= cluster.now() + Span(700));
   cr_expect(leader.is_leased(until - 1ms) && !leader.is_leased(until));
   for (const std::string& address : cluster.founders())
-    if (address != cluster.leader()) cr_expect(cluster.at(address).agreement->lease_until() == Moment{});
+    if (address != cluster.leader())
+      cr_expect(cluster.at(address).agreement->lease_until() == Moment{});
 }
--- a/tests/founding_test.cpp
+++ b/tests/founding_test.cpp
@@ -10,9 +10,14 @@
 
 class CountedLog final : public google::LogSink {
  public:
-  CountedLog() { google::AddLogSink(this); }
-  ~CountedLog() override { google::RemoveLogSink(this); }
-  void send(google::LogSeverity, const char*, const char*, int, const std::tm*, const char* text, std::size_t size) override {
+  CountedLog() {
+    google::AddLogSink(this);
+  }
+  ~CountedLog() override {
+    google::RemoveLogSink(this);
+  }
+  void send(google::LogSeverity, const char*, const char*, int, const std::tm*, const char* text,
+            std::size_t size) override {
     lines.emplace_back(text, size);
   }
   std::vector<std::string> lines;
@@ -28,11 +33,14 @@
   return startup;
 }
 
-const auto never = [] { return false; };
+const auto never = [] {
+  return false;
+};
 
 }  // namespace
 
-// Only an empty disk founds; a damaged one asks to join under a fresh id, even at what claims to be the first run.
+// Only an empty disk founds; a damaged one asks to join under a fresh id, even at what claims to be
+// the first run.
 Test(founding, only_an_empty_disk_founds_a_core) {
   const Folder folder;
   const Startup startup = founder(folder.path());
@@ -52,7 +60,8 @@
   cr_assert(durable && durable->self == MemberId{99} && durable->entry->members.empty());
 }
 
-// One line in the log, nothing changed, neither an end nor a core founded anew; served again once it can be.
+// One line in the log, nothing changed, neither an end nor a core founded anew; served again once
+// it can be.
 Test(founding, a_store_of_an_unknown_format_is_waited_for) {
   const Folder folder;
   const Startup startup = founder(folder.path());
@@ -66,11 +75,13 @@
   CountedLog log;
   cr_expect(!load_or_found(startup, store, MemberId{99}, [&] { return ++waits < 50; }));
   cr_expect(waits == 50 && log.lines.size() == 1, "%d lines", int(log.lines.size()));
-  cr_expect(log.lines.at(0).find("slot-1.mdb") != std::string::npos && log.lines.at(0).find("format 3") != std::string::npos);
+  cr_expect(log.lines.at(0).find("slot-1.mdb") != std::string::npos &&
+            log.lines.at(0).find("format 3") != std::string::npos);
   cr_expect(read_folder(folder.path()) == later);
   const auto back = [&](const Files& files) {
     fill_folder(folder.path(), later);
-    return load_or_found(startup, store, MemberId{99}, [&] { return fill_folder(folder.path(), files), true; });
+    return load_or_found(startup, store, MemberId{99},
+                         [&] { return fill_folder(folder.path(), files), true; });
   };
   std::optional<Durable> durable = back(whole);
   cr_expect(durable && durable->self == MemberId{5});
--- a/tests/grants_test.cpp
+++ b/tests/grants_test.cpp
@@ -21,24 +21,32 @@
   cr_expect(grants.grant("a", LifeId{1}, 4, start + 24s) == 0);
 }
 
-// Brokers come, restart and vanish at every step; what may be held or was used within a window never exceeds the whole.
+// Brokers come, restart and vanish at every step; what may be held or was used within a window
+// never exceeds the whole.
 Test(grants, the_sum_never_exceeds_the_reserve) {
   Grants grants(56, valid, window);
   grants.lead(true, start - 60s);
   std::map<std::pair<int, std::uint64_t>, std::pair<double, Moment>> held;  // amount, last granted
   std::uint64_t noise = 88172645463325252ull;
-  const auto draw = [&] { return noise ^= noise << 13, noise ^= noise >> 7, noise ^= noise << 17; };
+  const auto draw = [&] {
+    return noise ^= noise << 13, noise ^= noise >> 7, noise ^= noise << 17;
+  };
   std::uint64_t lives[12] = {};
   for (Moment now = start; now < start + 200s; now += 400ms) {
     for (int broker = 0; broker < 12; ++broker) {
-      if (draw() % 40 == 0) ++lives[broker];  // a restart
-      if (draw() % 3 == 0) continue;          // not heard this time
-      const double amount = grants.grant(std::to_string(broker), LifeId{lives[broker]}, draw() % 12 + 1, now);
-      if (amount > 0) held[{broker, lives[broker]}] = {amount, now};
+      if (draw() % 40 == 0)
+        ++lives[broker];  // a restart
+      if (draw() % 3 == 0)
+        continue;  // not heard this time
+      const double amount =
+          grants.grant(std::to_string(broker), LifeId{lives[broker]}, draw() % 12 + 1, now);
+      if (amount > 0)
+        held[{broker, lives[broker]}] = {amount, now};
     }
     double sum = 0;
     for (const auto& [who, grant] : held)
-      if (now <= grant.second + valid + window) sum += grant.first;
+      if (now <= grant.second + valid + window)
+        sum += grant.first;
     cr_assert(sum <= 56 + 1e-6);
   }
   cr_expect(!held.empty());
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -20,12 +20,17 @@
     const char* bytes;
     Kind kind;
   } rows[] = {
-      {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", Kind::length_required_conflict},
-      {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", Kind::length_required_conflict},
+      {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+       Kind::length_required_conflict},
+      {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+       Kind::length_required_conflict},
       {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: +1\r\n\r\n", Kind::length_required_conflict},
       {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 1, 1\r\n\r\n", Kind::length_required_conflict},
-      {"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", Kind::unsupported_coding},
-      {"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", Kind::length_required_conflict},
+      {"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
+       Kind::unsupported_coding},
+      {"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: "
+       "chunked\r\n\r\n",
+       Kind::length_required_conflict},
       {"GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", Kind::length_required_conflict},
       {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length : 1\r\n\r\n", Kind::malformed},
       {"GET / HTTP/1.1\r\nHost: a\r\n folded\r\n\r\n", Kind::malformed},
@@ -39,18 +44,23 @@
       {"GET /\x01 HTTP/1.1\r\nHost: a\r\n\r\n", Kind::malformed},
       {"GET / HTTP/1.1\r\nHost: a\r\nExpect: tea\r\n\r\n", Kind::expectation},
       {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 65\r\n\r\n", Kind::body_too_large},
-      {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n41\r\n", Kind::body_too_large},
+      {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n41\r\n",
+       Kind::body_too_large},
       {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1g\r\n", Kind::malformed},
-      {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", Kind::malformed},
+      {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
+       Kind::malformed},
   };
-  for (const auto& row : rows) cr_expect(refusal(row.bytes) == row.kind, "%s", row.bytes);
-  cr_expect(refusal("GET / HTTP/1.1\r\nHost: a\r\nX: " + std::string(1100, 'x') + "\r\n\r\n") == Kind::head_too_large);
+  for (const auto& row : rows)
+    cr_expect(refusal(row.bytes) == row.kind, "%s", row.bytes);
+  cr_expect(refusal("GET / HTTP/1.1\r\nHost: a\r\nX: " + std::string(1100, 'x') + "\r\n\r\n") ==
+            Kind::head_too_large);
 }
 
 // However the bytes are cut, the same messages come out, and what follows stays in the buffer.
 Test(http, a_request_cut_anywhere_reads_the_same) {
   const std::string bytes =
-      "\r\nPOST /a%20b?x=1 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\nGET /next";
+      "\r\nPOST /a%20b?x=1 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: "
+      "chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\nGET /next";
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
     MessageReader reader(true, 1024, 64);
     std::string buffer = bytes.substr(0, cut);
@@ -77,7 +87,8 @@
 
 Test(http, an_interim_answer_is_passed_over) {
   MessageReader reader(false, 1024, 64);
-  std::string buffer = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokX";
+  std::string buffer =
+      "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokX";
   cr_expect(reader.advance(buffer) == Step::done);
   cr_expect(reader.response().getStatus() == 200);
   cr_expect(reader.body() == "ok");
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -11,10 +11,12 @@
 const std::string spare = "10.0.0.9:7";
 
 bool is_member_address(Cluster& cluster, const std::string& address) {
-  if (!cluster.has_leader()) return false;
+  if (!cluster.has_leader())
+    return false;
   const auto& committed = cluster.at(cluster.leader()).agreement->committed();
   return committed && committed->former.empty() &&
-         std::any_of(committed->members.begin(), committed->members.end(), [&](const Member& member) { return member.address == address; });
+         std::any_of(committed->members.begin(), committed->members.end(),
+                     [&](const Member& member) { return member.address == address; });
 }
 
 // The members that run, the leader last.
@@ -22,13 +24,16 @@
   std::vector<std::string> found;
   const std::string leader = cluster.leader();
   for (const std::string& address : cluster.founders())
-    if (address != but && address != leader && cluster.at(address).agreement) found.push_back(address);
-  if (leader != but && leader != spare) found.push_back(leader);
+    if (address != but && address != leader && cluster.at(address).agreement)
+      found.push_back(address);
+  if (leader != but && leader != spare)
+    found.push_back(leader);
   return found;
 }
 
 bool acknowledges(Cluster& cluster, std::int64_t version, const std::string& body) {
-  if (!cluster.run_until([&] { return cluster.has_leader(); })) return false;
+  if (!cluster.run_until([&] { return cluster.has_leader(); }))
+    return false;
   const std::string leader = cluster.leader();
   const std::uint64_t token = cluster.propose(version, body);
   return cluster.run_until([&] { return cluster.is_done(leader, token); }, 3000ms);
@@ -37,7 +42,8 @@
 // Once a leader of before that lost its majority has given up.
 bool has_it(Cluster& cluster, const std::string& body, Span most = Span(10000)) {
   cluster.run(1500ms);
-  return cluster.run_until([&] { return cluster.has_leader() && cluster.body_at(cluster.leader()) == body; }, most);
+  return cluster.run_until(
+      [&] { return cluster.has_leader() && cluster.body_at(cluster.leader()) == body; }, most);
 }
 
 void start_core(Cluster& cluster) {
@@ -61,8 +67,10 @@
         cr_assert(acknowledges(cluster, 5, "five"));
         cluster.run(between - 1300ms);
         std::vector<std::string> next = running(cluster, lost);
-        for (std::size_t wiped = 0; wiped < count / 2; ++wiped) cluster.wipe(next[wiped]);
-        cr_expect(has_it(cluster, "five"), "of %zu, leader %d, %d ms", count, is_leader_lost, static_cast<int>(between.count()));
+        for (std::size_t wiped = 0; wiped < count / 2; ++wiped)
+          cluster.wipe(next[wiped]);
+        cr_expect(has_it(cluster, "five"), "of %zu, leader %d, %d ms", count, is_leader_lost,
+                  static_cast<int>(between.count()));
       }
 }
 
@@ -75,15 +83,20 @@
       const std::string lost = is_leader_lost ? cluster.leader() : running(cluster).front();
       cluster.stop(lost);
       const Moment from = cluster.now();
-      cr_assert(cluster.run_until([&] { return is_member_address(cluster, spare) && !is_member_address(cluster, lost); }));
+      cr_assert(cluster.run_until(
+          [&] { return is_member_address(cluster, spare) && !is_member_address(cluster, lost); }));
       const Span took = span_between(from, cluster.now());
-      cr_log_info("of %zu, %s: replaced %d ms after its loss", count, is_leader_lost ? "the leader" : "a follower", static_cast<int>(took.count()));
+      cr_log_info("of %zu, %s: replaced %d ms after its loss", count,
+                  is_leader_lost ? "the leader" : "a follower", static_cast<int>(took.count()));
       cr_expect(took < Span(1500), "%d", static_cast<int>(took.count()));
     }
-  cr_expect(silent_span(Span(4000), Span(700)) == Span(1050) && silent_span(Span(6000), Span(700)) == Span(1500) && silent_span(Span(60000), Span(700)) == Span(3000));
+  cr_expect(silent_span(Span(4000), Span(700)) == Span(1050) &&
+            silent_span(Span(6000), Span(700)) == Span(1500) &&
+            silent_span(Span(60000), Span(700)) == Span(3000));
 }
 
-// A member that leaves goes only after its place is taken; whoever is lost in that moment costs nothing.
+// A member that leaves goes only after its place is taken; whoever is lost in that moment costs
+// nothing.
 Test(membership, whoever_leaves_in_order_goes_after_its_place_is_taken) {
   for (const std::size_t count : {std::size_t{3}, std::size_t{5}})
     for (const bool is_leader : {false, true})
@@ -96,11 +109,13 @@
         cluster.leave(leaver);
         cr_assert(cluster.run_until([&] { return !cluster.at(leaver).agreement; }, 3000ms));
         const Span took = span_between(from, cluster.now());
-        cr_log_info("of %zu, %s: left after %d ms", count, is_leader ? "the leader" : "a follower", static_cast<int>(took.count()));
+        cr_log_info("of %zu, %s: left after %d ms", count, is_leader ? "the leader" : "a follower",
+                    static_cast<int>(took.count()));
         cr_expect(took < Span(500));
         const std::vector<std::string> next = running(cluster, leaver);
         cluster.wipe(other ? next.back() : next.front());
-        if (count == 5) cluster.wipe(other ? next.front() : next.back());
+        if (count == 5)
+          cluster.wipe(other ? next.front() : next.back());
         cr_expect(has_it(cluster, "five"), "of %zu, leader %d, other %d", count, is_leader, other);
         cr_expect(acknowledges(cluster, 6, "six"));
       }
@@ -119,7 +134,8 @@
   }
 }
 
-// An acknowledged change that only the leaver and a member lost meanwhile held: the leaver stays until a majority has it.
+// An acknowledged change that only the leaver and a member lost meanwhile held: the leaver stays
+// until a majority has it.
 Test(membership, the_only_holder_of_a_change_does_not_leave_with_it) {
   Cluster cluster(3);
   start_core(cluster);
@@ -148,12 +164,16 @@
     cr_assert(cluster.run_until([&] { return !cluster.at(founder).agreement; }, 3000ms));
   }
   cr_expect(has_it(cluster, "three"));
-  // All first contacts are dead from here on: whoever comes back knows the members from its own disk.
+  // All first contacts are dead from here on: whoever comes back knows the members from its own
+  // disk.
   std::vector<std::string> all;
-  for (place = 21; place <= 23; ++place) all.push_back("10.0.0." + std::to_string(place) + ":7");
-  for (const std::string& address : all) cluster.stop(address);
+  for (place = 21; place <= 23; ++place)
+    all.push_back("10.0.0." + std::to_string(place) + ":7");
+  for (const std::string& address : all)
+    cluster.stop(address);
   cluster.run(3000ms);
-  for (const std::string& address : all) cluster.start(address);
+  for (const std::string& address : all)
+    cluster.start(address);
   cr_expect(has_it(cluster, "three"));
   cr_expect(acknowledges(cluster, 4, "four"));
 }
@@ -181,16 +201,20 @@
   std::int64_t version = 10;
   const auto storm = [&](Span span) {
     for (const Moment end = cluster.now() + span; cluster.now() < end; cluster.run(5ms))
-      for (int order = 0; order < 2; ++order) cluster.propose(++version, "body " + std::to_string(version));
+      for (int order = 0; order < 2; ++order)
+        cluster.propose(++version, "body " + std::to_string(version));
   };
   cluster.stop(lost);
   storm(500ms);
   cluster.start(spare);
   storm(1500ms);
   cr_expect(cluster.leader() == leader);
-  cr_expect(is_member_address(cluster, spare) || cluster.at(leader).agreement->committed()->former.size() > 0);
+  cr_expect(is_member_address(cluster, spare) ||
+            cluster.at(leader).agreement->committed()->former.size() > 0);
   storm(500ms);
-  cr_expect(cluster.run_until([&] { return is_member_address(cluster, spare) && !is_member_address(cluster, lost); }, 100ms));
+  cr_expect(cluster.run_until(
+      [&] { return is_member_address(cluster, spare) && !is_member_address(cluster, lost); },
+      100ms));
 }
 
 // A follower hears a leader that no majority answers any more: nobody may rely on either.
@@ -199,7 +223,8 @@
   cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
   cluster.run(500ms);
   const std::string leader = cluster.leader();
-  for (const std::string& address : cluster.founders()) cluster.cut_way(address, leader);
+  for (const std::string& address : cluster.founders())
+    cluster.cut_way(address, leader);
   const Moment from = cluster.now();
   bool is_relied_on = true;
   while (is_relied_on && cluster.now() - from < Span(4000)) {
@@ -207,13 +232,16 @@
     is_relied_on = false;
     for (const std::string& address : cluster.founders()) {
       const Agreement& agreement = *cluster.at(address).agreement;
-      is_relied_on = is_relied_on || (agreement.leader_address() == leader && agreement.is_confirmed(cluster.now()));
+      is_relied_on = is_relied_on || (agreement.leader_address() == leader &&
+                                      agreement.is_confirmed(cluster.now()));
     }
   }
-  cr_expect(cluster.now() - from <= Span(1450), "%d", static_cast<int>(span_between(from, cluster.now()).count()));
+  cr_expect(cluster.now() - from <= Span(1450), "%d",
+            static_cast<int>(span_between(from, cluster.now()).count()));
 }
 
-// A wiped member hears the leader, but holds nothing yet: it can't know who is a member, and says so of nobody.
+// A wiped member hears the leader, but holds nothing yet: it can't know who is a member, and says
+// so of nobody.
 Test(membership, a_learner_that_holds_nothing_takes_nobody_for_removed) {
   Cluster cluster(3);
   cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
@@ -221,7 +249,9 @@
   const std::string leader = cluster.leader();
   const std::vector<std::string> others = running(cluster, leader);
   cluster.wipe(others[0]);
-  cluster.should_drop = [](std::uint64_t, const RaftMessage& message) { return message.piece.has_value(); };
+  cluster.should_drop = [](std::uint64_t, const RaftMessage& message) {
+    return message.piece.has_value();
+  };
   cluster.start(others[0]);
   cluster.run(300ms);
   cluster.cut_way(leader, others[1]);
@@ -234,7 +264,8 @@
   Cluster cluster(3);
   cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
   cluster.run(500ms);
-  const std::string leader = cluster.leader(), told = running(cluster).front(), other = running(cluster)[1];
+  const std::string leader = cluster.leader(), told = running(cluster).front(),
+                    other = running(cluster)[1];
   cluster.stop(leader);
   cluster.stop(other);
   RaftMessage message;
--- a/tests/pick_test.cpp
+++ b/tests/pick_test.cpp
@@ -13,12 +13,15 @@
 
 }  // namespace
 
-// Whatever the load and however the moments fall, extras of any span stay within the share of its requests.
+// Whatever the load and however the moments fall, extras of any span stay within the share of its
+// requests.
 Test(budget, extras_never_exceed_the_share_in_any_span) {
   Budget budget(Span(10000), 0.2);
   std::vector<Moment> requests, extras;
   std::uint64_t noise = 88172645463325252ull;
-  const auto draw = [&] { return noise ^= noise << 13, noise ^= noise >> 7, noise ^= noise << 17; };
+  const auto draw = [&] {
+    return noise ^= noise << 13, noise ^= noise >> 7, noise ^= noise << 17;
+  };
   for (Moment now = start; now < start + 60s; now += 10ms) {
     const bool is_busy = (now - start) % 20s < 8s;
     for (std::uint64_t count = draw() % (is_busy ? 5 : 2); count; --count) {
@@ -32,11 +35,15 @@
   }
   cr_assert(!extras.empty());
   const auto within = [](const std::vector<Moment>& events, Moment from, Moment to) {
-    return std::count_if(events.begin(), events.end(), [&](Moment event) { return event >= from && event < to; });
+    return std::count_if(events.begin(), events.end(),
+                         [&](Moment event) { return event >= from && event < to; });
   };
   for (Moment from = start; from < start + 50s; from += 250ms) {
-    const auto most = std::max({within(requests, from, from + 10s), within(requests, from - 5s, from + 5s), within(requests, from - 10s, from)});
-    cr_expect(static_cast<double>(within(extras, from, from + 10s)) <= 0.2 * static_cast<double>(most) + 1);
+    const auto most =
+        std::max({within(requests, from, from + 10s), within(requests, from - 5s, from + 5s),
+                  within(requests, from - 10s, from)});
+    cr_expect(static_cast<double>(within(extras, from, from + 10s)) <=
+              0.2 * static_cast<double>(most) + 1);
   }
 }
 
@@ -77,21 +84,26 @@
     backend->locality = "l";
     backends.push_back(backend);
   }
-  // 58 brokers, 20 connections to each of four: one own each, and no backend is the own of more than it allows.
+  // 58 brokers, 20 connections to each of four: one own each, and no backend is the own of more
+  // than it allows.
   std::map<std::string, int> kept;
   for (int broker = 0; broker < 58; ++broker) {
     choose_own(backends, {"l", "r"}, "10.0.0." + std::to_string(broker) + ":7000", 20, 58);
     int own = 0;
-    for (const auto& backend : backends) own += backend->is_own, kept[backend->id] += backend->is_own;
+    for (const auto& backend : backends)
+      own += backend->is_own, kept[backend->id] += backend->is_own;
     cr_expect(own == 1 && backends[0]->is_scarce);
   }
-  for (const auto& [id, count] : kept) cr_expect(count <= 26, "%s: %d", id.c_str(), count);
+  for (const auto& [id, count] : kept)
+    cr_expect(count <= 26, "%s: %d", id.c_str(), count);
   Backend* own = nullptr;
   for (const auto& backend : backends)
-    if (backend->is_own) own = backend.get();
+    if (backend->is_own)
+      own = backend.get();
   Picker picker({"l", "r"}, 1);
   cr_expect(picker.pick(backends, {}, 1, now).backend == own);
-  cr_expect(picker.pick(backends, {own}, 1, now + 20ms).backend != nullptr, "a second asking goes elsewhere");
+  cr_expect(picker.pick(backends, {own}, 1, now + 20ms).backend != nullptr,
+            "a second asking goes elsewhere");
   choose_own(backends, {"l", "r"}, "10.0.0.1:7000", 200, 58);
   cr_expect(!backends[0]->is_scarce);
 }
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -20,18 +20,24 @@
 
 std::vector<RosterEntry> many(int count) {
   std::vector<RosterEntry> entries;
-  for (int at = 0; at < count; ++at) entries.push_back(listed("b" + std::to_string(at)));
+  for (int at = 0; at < count; ++at)
+    entries.push_back(listed("b" + std::to_string(at)));
   return entries;
 }
 
-Status status(const RosterBook& book, const std::string& id) { return book.lines().at(id).entry.status; }
-Phase phase(const RosterBook& book, const std::string& id) { return book.lines().at(id).entry.phase; }
+Status status(const RosterBook& book, const std::string& id) {
+  return book.lines().at(id).entry.status;
+}
+Phase phase(const RosterBook& book, const std::string& id) {
+  return book.lines().at(id).entry.phase;
+}
 
 Registry watching(int count, RegistryOptions options = {}) {
   Registry registry(options);
   registry.name_services({"s"});
   registry.observe(many(count), start);
-  for (int at = 0; at < count; ++at) registry.renew("b" + std::to_string(at), start);
+  for (int at = 0; at < count; ++at)
+    registry.renew("b" + std::to_string(at), start);
   registry.sweep(start);
   return registry;
 }
@@ -39,7 +45,8 @@
 // Renews all but the first `silent` every second, and sweeps.
 void live(Registry& registry, int count, int silent, Moment from, Span span) {
   for (Moment now = from; now <= from + span; now += 1s) {
-    for (int at = silent; at < count; ++at) registry.renew("b" + std::to_string(at), now);
+    for (int at = silent; at < count; ++at)
+      registry.renew("b" + std::to_string(at), now);
     registry.sweep(now);
   }
 }
@@ -71,7 +78,8 @@
   Registry registry = watching(10);
   live(registry, 10, 4, start + 1s, 20s);
   cr_expect(!registry.is_evicting());
-  for (int at = 0; at < 10; ++at) cr_expect(status(registry, "b" + std::to_string(at)) == Status::up);
+  for (int at = 0; at < 10; ++at)
+    cr_expect(status(registry, "b" + std::to_string(at)) == Status::up);
   live(registry, 10, 1, start + 22s, 10s);
   cr_expect(registry.is_evicting());
   cr_expect(status(registry, "b0") == Status::down && status(registry, "b1") == Status::up);
@@ -117,15 +125,19 @@
   std::uint64_t mark = 0;
   const auto follow = [&](Moment now) {
     const Roster delta = registry.since(mark, now);
-    for (const RosterEntry& entry : delta.entries) copy.merge(entry, now);
+    for (const RosterEntry& entry : delta.entries)
+      copy.merge(entry, now);
     mark = delta.mark;
     return delta.entries.size();
   };
   cr_expect(follow(start) == 5);
   cr_expect(follow(start) == 0);
-  registry.observe({listed("b0", Phase::emptying), listed("b1"), listed("b2"), listed("b3"), listed("b4"), listed("b5")}, start + 1s);
+  registry.observe({listed("b0", Phase::emptying), listed("b1"), listed("b2"), listed("b3"),
+                    listed("b4"), listed("b5")},
+                   start + 1s);
   cr_expect(follow(start + 1s) == 2);
-  for (const RosterEntry& entry : registry.since(0, start + 1s).entries) fresh.merge(entry, start + 1s);
+  for (const RosterEntry& entry : registry.since(0, start + 1s).entries)
+    fresh.merge(entry, start + 1s);
   for (const auto& [id, line] : fresh.lines()) {
     cr_expect(copy.lines().at(id).entry.status == line.entry.status);
     cr_expect(copy.lines().at(id).entry.phase == line.entry.phase);
@@ -148,7 +160,8 @@
   Registry here(options), there(options);
   const Moment start = Moment{} + 1000s;
   RosterEntry entry;
-  const std::string beat = R"({"service":"db","address":"10.0.0.1:80","zone":"z","state":"ready","store_role":"copy","call_count":4})";
+  const std::string beat =
+      R"({"service":"db","address":"10.0.0.1:80","zone":"z","state":"ready","store_role":"copy","call_count":4})";
   cr_assert(!read_beat("i-1", beat, false, entry));
   here.sign(entry, start);
   there.take(here.since(0, start), start);
@@ -157,7 +170,8 @@
   entry.call_count = 5;
   entry.is_leader = true;
   here.sign(entry, start + 1s);
-  for (const auto& item : here.take_renewed(start + 1s).items) there.renew_signed(item, start + 1s);
+  for (const auto& item : here.take_renewed(start + 1s).items)
+    there.renew_signed(item, start + 1s);
   there.take(here.since(1, start + 1s), start + 1s);
   cr_expect(there.lines().at("i-1").entry.is_leader);
   // A late call changes nothing; a cancel wins for good.
@@ -180,12 +194,18 @@
     const char* complaint;
   } rows[] = {
       {"{", "the beat is not a JSON object"},
-      {R"({"service":"db","address":"10.0.0.1:80","zone":"z","state":"ready"})", "call_count is missing or out of range"},
-      {R"({"service":"db","address":"10.0.0:80","zone":"z","state":"ready","call_count":1})", "address is not an address"},
-      {R"({"service":"db","address":"10.0.0.1:80","zone":"z","state":"odd","call_count":1})", "state is neither ready nor emptying"},
-      {R"({"service":"db","address":"10.0.0.1:80","zone":"z","state":"ready","store_role":"king","call_count":1})", "store_role is neither leader nor copy"},
-      {R"({"service":7,"address":"10.0.0.1:80","zone":"z","state":"ready","call_count":1})", "service is missing or no proper text"},
-      {R"({"service":"db","address":"10.0.0.1:80","zone":"z","state":"ready","capacity":-1,"call_count":1})", "capacity is missing or out of range"},
+      {R"({"service":"db","address":"10.0.0.1:80","zone":"z","state":"ready"})",
+       "call_count is missing or out of range"},
+      {R"({"service":"db","address":"10.0.0:80","zone":"z","state":"ready","call_count":1})",
+       "address is not an address"},
+      {R"({"service":"db","address":"10.0.0.1:80","zone":"z","state":"odd","call_count":1})",
+       "state is neither ready nor emptying"},
+      {R"({"service":"db","address":"10.0.0.1:80","zone":"z","state":"ready","store_role":"king","call_count":1})",
+       "store_role is neither leader nor copy"},
+      {R"({"service":7,"address":"10.0.0.1:80","zone":"z","state":"ready","call_count":1})",
+       "service is missing or no proper text"},
+      {R"({"service":"db","address":"10.0.0.1:80","zone":"z","state":"ready","capacity":-1,"call_count":1})",
+       "capacity is missing or out of range"},
   };
   for (const auto& row : rows) {
     RosterEntry entry;
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -17,14 +17,22 @@
 
 class KeptLines final : public google::LogSink {
  public:
-  KeptLines() { google::AddLogSink(this); }
-  ~KeptLines() override { google::RemoveLogSink(this); }
-  void send(google::LogSeverity, const char*, const char*, int, const struct ::tm*, const char* text, size_t size) override {
+  KeptLines() {
+    google::AddLogSink(this);
+  }
+  ~KeptLines() override {
+    google::RemoveLogSink(this);
+  }
+  void send(google::LogSeverity, const char*, const char*, int, const struct ::tm*,
+            const char* text, size_t size) override {
     const std::string line(text, size);
-    refused += line.find("refused, waits for a better one: time_bounds.catch_up_s") != std::string::npos;
-    if (line.find("kept as it was") == std::string::npos) return;
+    refused +=
+        line.find("refused, waits for a better one: time_bounds.catch_up_s") != std::string::npos;
+    if (line.find("kept as it was") == std::string::npos)
+      return;
     ++lines;
-    if (line.find("time_bounds.grace_s") != std::string::npos) ++fields;
+    if (line.find("time_bounds.grace_s") != std::string::npos)
+      ++fields;
   }
   std::atomic<int> lines = 0, fields = 0, refused = 0;
 };
@@ -33,13 +41,17 @@
 template <class Condition>
 bool await(const Condition& is_so) {
   for (const Moment until = Clock::now() + 5s; Clock::now() < until; std::this_thread::yield())
-    if (is_so()) return true;
+    if (is_so())
+      return true;
   return false;
 }
 
-const std::string good = R"({"node_name":"n","ip_address":"10.0.0.1","zone":"z","first_contacts":["10.0.0.2:8"],"spare_ports":[7000,7010],
+const std::string good =
+    R"({"node_name":"n","ip_address":"10.0.0.1","zone":"z","first_contacts":["10.0.0.2:8"],"spare_ports":[7000,7010],
     "listens_on":{"front":"10.0.0.1:80","ready_check":"10.0.0.1:81"})";
-std::string own_path() { return "/tmp/saddlewing-reload-" + std::to_string(::getpid()) + ".json"; }
+std::string own_path() {
+  return "/tmp/saddlewing-reload-" + std::to_string(::getpid()) + ".json";
+}
 
 // Serves until a change to nine seconds was taken, or for as long as it may take.
 bool is_change_taken(Signals& signals, const std::string& path) {
@@ -60,14 +72,19 @@
   std::ofstream(path) << good + "}";
   Signals signals(path);
   std::ofstream(path) << good + R"(,"time_bounds":{"grace_s":9}})";
-  if (is_signalled) std::raise(SIGHUP);
+  if (is_signalled)
+    std::raise(SIGHUP);
   return is_change_taken(signals, path);
 }
 
 }  // namespace
 
-Test(reload, a_signal_before_serving_begins_is_not_lost) { cr_expect(is_early_change_taken(true)); }
-Test(reload, a_changed_file_before_serving_begins_is_not_lost) { cr_expect(is_early_change_taken(false)); }
+Test(reload, a_signal_before_serving_begins_is_not_lost) {
+  cr_expect(is_early_change_taken(true));
+}
+Test(reload, a_changed_file_before_serving_begins_is_not_lost) {
+  cr_expect(is_early_change_taken(false));
+}
 
 // It is missing at first, comes, is read, and changes before anybody serves.
 Test(reload, a_change_of_a_file_that_was_missing_at_first_is_not_lost) {
@@ -118,10 +135,12 @@
   std::remove(path.c_str());
 }
 
-// At a registry's start: refused by name with one line, nothing begun; as soon as the file is put right it goes on.
+// At a registry's start: refused by name with one line, nothing begun; as soon as the file is put
+// right it goes on.
 Test(reload, a_registry_waits_for_settings_that_name_catch_up) {
   const std::string path = own_path();
-  const std::string registry = R"({"node_name":"n","ip_address":"10.0.0.1","zone":"z","data_folder":"/d","first_contacts":["10.0.0.2:8"],"spare_ports":[7000,7010],
+  const std::string registry =
+      R"({"node_name":"n","ip_address":"10.0.0.1","zone":"z","data_folder":"/d","first_contacts":["10.0.0.2:8"],"spare_ports":[7000,7010],
     "listens_on":{"control":"10.0.0.1:80"},"provider_api":{"address":"10.0.0.9:80"},"time_bounds":)";
   for (const std::string bounds : {R"({"catch_up_s":-1}})", R"({"catch_up_s":"soon"}})", "{}}"}) {
     std::ofstream(path) << registry + bounds;
@@ -129,7 +148,8 @@
     Signals signals(path);
     std::thread driver([&] {
       await([&] { return kept.refused > 0; });
-      for (int round = 0; round < 3; ++round) std::raise(SIGHUP);
+      for (int round = 0; round < 3; ++round)
+        std::raise(SIGHUP);
       std::ofstream(path) << registry + R"({"catch_up_s":5}})";
       std::raise(SIGHUP);
     });
--- a/tests/rings_test.cpp
+++ b/tests/rings_test.cpp
@@ -13,7 +13,8 @@
 Test(rings, of_the_newest_alone_a_late_reader_finds_the_newest) {
   int woken = 0;
   Ring<int> ring(2, [&] { ++woken; });
-  for (int item = 1; item <= 5; ++item) ring.replace(item);
+  for (int item = 1; item <= 5; ++item)
+    ring.replace(item);
   cr_expect(ring.take() == std::vector<int>({5}));
   cr_expect_eq(woken, 1);
   ring.replace(6);
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -43,9 +43,11 @@
 
 Test(rollout, a_serving_broker_turns_when_it_is_told_and_never_back) {
   Turnover turnover(Span(800));
-  cr_expect(turnover.take(version(3), start) && turnover.turn(false, start), "the first has nothing to wait for");
+  cr_expect(turnover.take(version(3), start) && turnover.turn(false, start),
+            "the first has nothing to wait for");
   cr_expect(turnover.take(version(5), start + 1s));
-  cr_expect(!turnover.turn(true, start + 1100ms) && turnover.serving()->version == Version{3} && turnover.held() == Version{5});
+  cr_expect(!turnover.turn(true, start + 1100ms) && turnover.serving()->version == Version{3} &&
+            turnover.held() == Version{5});
   turnover.see_in_force(Version{4});
   cr_expect(!turnover.turn(true, start + 1200ms));
   turnover.see_in_force(Version{5});
@@ -60,5 +62,6 @@
   turnover.take(version(5), start + 1s);
   turnover.take(version(6), start + 1700ms);
   cr_expect(!turnover.turn(true, start + 1799ms));
-  cr_expect(turnover.turn(true, start + 1800ms) && turnover.serving()->version == Version{6}, "newer ones do not renew the wait");
+  cr_expect(turnover.turn(true, start + 1800ms) && turnover.serving()->version == Version{6},
+            "newer ones do not renew the wait");
 }
--- a/tests/sanitize/direct_runner.cpp
+++ b/tests/sanitize/direct_runner.cpp
@@ -1,7 +1,9 @@
-// Runs the Criterion tests under the thread sanitizer. Criterion's own runner maps an arena at addresses that this sanitizer
-// keeps for itself, and ends. Here each test runs in a fork of its own, as there; the functions that report to the runner are
-// replaced by ones that print and count. A failed assertion, a report of the sanitizer, an exception or a signal fails a test.
-// A test with a fixture, an expected signal or a suite's options is not known here and fails, so that none passes unseen.
+// Runs the Criterion tests under the thread sanitizer. Criterion's own runner maps an arena at
+// addresses that this sanitizer keeps for itself, and ends. Here each test runs in a fork of its
+// own, as there; the functions that report to the runner are replaced by ones that print and count.
+// A failed assertion, a report of the sanitizer, an exception or a signal fails a test. A test with
+// a fixture, an expected signal or a suite's options is not known here and fails, so that none
+// passes unseen.
 #include <criterion/criterion.h>
 #include <fnmatch.h>
 #include <sys/wait.h>
@@ -28,14 +30,16 @@
 
 bool is_plain(const criterion_test& test) {
   const criterion_test_extra_data& data = *test.data;
-  return data.kind_ == CR_TEST_NORMAL && !data.init && !data.fini && !data.signal && !data.exit_code && !data.disabled && data.timeout == 0;
+  return data.kind_ == CR_TEST_NORMAL && !data.init && !data.fini && !data.signal &&
+         !data.exit_code && !data.disabled && data.timeout == 0;
 }
 
 // In a fork of its own; gives the fork's id, -1 when there is none.
 pid_t start(const criterion_test& test) {
   std::fflush(nullptr);
   const pid_t child = ::fork();
-  if (child != 0) return child;
+  if (child != 0)
+    return child;
   test.test();
   std::exit(failed_assertions ? 1 : 0);
 }
@@ -45,7 +49,8 @@
   int status = 0;
   const pid_t child = ::wait(&status);
   const auto found = running.find(child);
-  if (found == running.end()) std::abort();
+  if (found == running.end())
+    std::abort();
   const bool is_passed = WIFEXITED(status) && WEXITSTATUS(status) == 0;
   std::fprintf(stderr, "%s: %s\n", is_passed ? "passed" : "failed", found->second.c_str());
   running.erase(found);
@@ -56,16 +61,25 @@
 
 extern "C" {
 
-void criterion_internal_test_setup() {}
-void criterion_internal_test_main(void (*test)()) { test(); }
-void criterion_internal_test_teardown() {}
+void criterion_internal_test_setup() {
+}
+void criterion_internal_test_main(void (*test)()) {
+  test();
+}
+void criterion_internal_test_teardown() {
+}
 void criterion_send_assert(criterion_assert_stats* stats) {
-  if (stats->passed) return;
+  if (stats->passed)
+    return;
   ++failed_assertions;
-  std::fprintf(stderr, "%s:%u: assertion failed: %s\n", stats->file, static_cast<unsigned>(stats->line), stats->message ? stats->message : "");
+  std::fprintf(stderr, "%s:%u: assertion failed: %s\n", stats->file,
+               static_cast<unsigned>(stats->line), stats->message ? stats->message : "");
+}
+void criterion_continue_test() {
+}
+void criterion_abort_test() {
+  std::exit(1);
 }
-void criterion_continue_test() {}
-void criterion_abort_test() { std::exit(1); }
 void criterion_test_die(const char* message, ...) {
   va_list values;
   va_start(values, message);
@@ -78,7 +92,8 @@
 
 int main(int count, char** words) {
   const std::string filter = count == 3 && !std::strcmp(words[1], "--filter") ? words[2] : "*";
-  if (count != 1 && count != 3) return 2;
+  if (count != 1 && count != 3)
+    return 2;
   int tested = 0, failed = 0;
   std::map<pid_t, std::string> running;
   if (&__start_cr_sts[0] != &__stop_cr_sts[0]) {
@@ -87,16 +102,22 @@
   }
   for (criterion_test** place = __start_cr_tst; place != __stop_cr_tst; ++place) {
     const criterion_test* test = *place;
-    if (!test) continue;
+    if (!test)
+      continue;
     const std::string name = std::string(test->category) + "/" + test->name;
-    if (::fnmatch(filter.c_str(), name.c_str(), 0) != 0) continue;
+    if (::fnmatch(filter.c_str(), name.c_str(), 0) != 0)
+      continue;
     ++tested;
-    if (running.size() >= most_at_once) failed += !finish(running);
+    if (running.size() >= most_at_once)
+      failed += !finish(running);
     const pid_t child = is_plain(*test) ? start(*test) : -1;
-    if (child > 0) running[child] = name;
-    else ++failed, std::fprintf(stderr, "failed, not started: %s\n", name.c_str());
+    if (child > 0)
+      running[child] = name;
+    else
+      ++failed, std::fprintf(stderr, "failed, not started: %s\n", name.c_str());
   }
-  while (!running.empty()) failed += !finish(running);
+  while (!running.empty())
+    failed += !finish(running);
   std::printf("Tested: %d | Passing: %d | Failing: %d\n", tested, tested - failed, failed);
   return tested > 0 && failed == 0 ? 0 : 1;
 }
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -14,7 +14,8 @@
  public:
   Pair() : server_(poller, schedule, *this, 16, 1 << 20) {
     for (int port = 20000; port < 60000 && !address.port; ++port)
-      if (!server_.open({"127.0.0.1", port})) address = {"127.0.0.1", port};
+      if (!server_.open({"127.0.0.1", port}))
+        address = {"127.0.0.1", port};
     server_.set_limits({16384, 4 << 20, Span(3000), Span(15000)});
     caller = std::make_unique<Caller>(poller, *this, address, 65536, 64u << 20);
   }
@@ -22,10 +23,16 @@
     paths.push_back(visit.request().getURI());
     visit.answer({200, "OK", "Try-Id: " + visit.request().get("Try-Id", "") + "\r\n", body}, now);
   }
-  void on_gone(Visit&) override {}
-  void on_outcome(Caller&, Moment) override { is_over = true; }
-  void on_breakdown(Caller&, Kind kind, Moment) override { is_over = true, breakdown = kind; }
-  void on_idle_end(Caller&) override {}
+  void on_gone(Visit&) override {
+  }
+  void on_outcome(Caller&, Moment) override {
+    is_over = true;
+  }
+  void on_breakdown(Caller&, Kind kind, Moment) override {
+    is_over = true, breakdown = kind;
+  }
+  void on_idle_end(Caller&) override {
+  }
   void run() {
     for (int round = 0; round < 20000 && !is_over; ++round) {
       poller.poll(Span(50));
@@ -48,7 +55,8 @@
 
 }  // namespace
 
-// POCO throws when a non-blocking socket has no room; that was once taken for the end of the connection.
+// POCO throws when a non-blocking socket has no room; that was once taken for the end of the
+// connection.
 Test(server, an_answer_beyond_the_send_buffer_arrives_whole) {
   Pair pair;
   pair.body.assign(32u << 20, 'x');
@@ -60,13 +68,17 @@
 
 Test(server, a_pipelined_request_is_answered_in_its_turn) {
   Pair pair;
-  cr_assert(pair.caller->ask("GET /1 HTTP/1.1\r\nHost: a\r\nTry-Id: 1\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\nTry-Id: 2\r\n\r\n", false));
+  cr_assert(
+      pair.caller->ask("GET /1 HTTP/1.1\r\nHost: a\r\nTry-Id: 1\r\n\r\nGET /2 HTTP/1.1\r\nHost: "
+                       "a\r\nTry-Id: 2\r\n\r\n",
+                       false));
   pair.run();
   const std::vector<std::string> both{"/1", "/2"};
   cr_expect(pair.paths == both);
 }
 
-// POCO's plain bind also shares the port; two processes then took turns at each other's connections.
+// POCO's plain bind also shares the port; two processes then took turns at each other's
+// connections.
 Test(server, a_port_in_use_is_refused) {
   Pair pair;
   Listener second;
@@ -76,16 +88,23 @@
 // Bodies that together pass the bound are refused before they are read.
 Test(server, beyond_its_memory_a_request_is_refused_with_a_promise) {
   Pair pair;
-  cr_assert(pair.caller->ask("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2000000\r\n\r\n" + std::string(1500000, 'x'), false));
+  cr_assert(pair.caller->ask(
+      "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2000000\r\n\r\n" + std::string(1500000, 'x'),
+      false));
   pair.run();
   cr_expect(pair.paths.empty());
-  cr_expect(pair.caller->reader().response().getStatus() == 503 || pair.breakdown == Kind::broke_off);
+  cr_expect(pair.caller->reader().response().getStatus() == 503 ||
+            pair.breakdown == Kind::broke_off);
 }
 
-// A surplus answer in the place of the next one is told by its id, and the connection is not used again.
+// A surplus answer in the place of the next one is told by its id, and the connection is not used
+// again.
 Test(caller, an_answer_to_another_request_is_passed_over) {
   Pair pair;
-  cr_assert(pair.caller->ask("GET /1 HTTP/1.1\r\nHost: a\r\nTry-Id: 1\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\nTry-Id: 2\r\n\r\n", false, "2"));
+  cr_assert(
+      pair.caller->ask("GET /1 HTTP/1.1\r\nHost: a\r\nTry-Id: 1\r\n\r\nGET /2 HTTP/1.1\r\nHost: "
+                       "a\r\nTry-Id: 2\r\n\r\n",
+                       false, "2"));
   pair.run();
   cr_expect(pair.breakdown == Kind::none);
   cr_expect(pair.caller->reader().response().get("Try-Id") == "2");
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -5,15 +5,18 @@
 using namespace saddlewing::tests;
 
 Test(wire, a_message_cut_anywhere_reads_the_same) {
-  const std::string whole = wire(WireKind::ask, {"id", "READ a"}) + wire(WireKind::ready, {"I", "3.12"});
+  const std::string whole =
+      wire(WireKind::ask, {"id", "READ a"}) + wire(WireKind::ready, {"I", "3.12"});
   for (std::size_t cut = 0; cut <= whole.size(); ++cut) {
     std::string bytes = whole.substr(0, cut);
     std::vector<WireMessage> read;
     for (const std::string& more : {std::string(), whole.substr(cut)}) {
       bytes += more;
-      for (WireMessage message; read_wire(bytes, message) == WireStep::done;) read.push_back(message);
+      for (WireMessage message; read_wire(bytes, message) == WireStep::done;)
+        read.push_back(message);
     }
-    cr_assert(read.size() == 2 && read[0].field(1) == "READ a" && read[1].field(1) == "3.12", "cut at %zu", cut);
+    cr_assert(read.size() == 2 && read[0].field(1) == "READ a" && read[1].field(1) == "3.12",
+              "cut at %zu", cut);
   }
 }
 
@@ -85,7 +88,8 @@
 Test(session, a_client_that_leaves_or_rests_too_long_is_rolled_back) {
   SessionStage stage;
   SessionStage::Client resting(stage), leaving(stage), next(stage);
-  for (auto* client : {&resting, &leaving, &next}) stage.start(*client);
+  for (auto* client : {&resting, &leaving, &next})
+    stage.start(*client);
   stage.say(resting, "BEGIN");
   stage.say(resting, "WRITE a 1");
   cr_assert(resting.due != Moment::max());
@@ -104,10 +108,15 @@
   cr_expect(stage.databases["leader"].log.size() == 1 && stage.opened == 1);
 }
 
-// Every message to the database in turn: the connection ends before it, after it, or within its answer.
+// Every message to the database in turn: the connection ends before it, after it, or within its
+// answer.
 Test(session, with_any_message_lost_promises_hold_and_nothing_lands_twice) {
-  const std::vector<std::string> script = {"SET colour red", "NAME w WRITE q", "RUN w a 1", "BEGIN", "RUN w b 1", "READ b", "SAVE", "READ c", "WRITE d 1"};
-  for (const auto fault : {StandIn::Fault::cut_before, StandIn::Fault::cut_after, StandIn::Fault::lose_answer, StandIn::Fault::surplus_ready, StandIn::Fault::no_end})
+  const std::vector<std::string> script = {"SET colour red", "NAME w WRITE q", "RUN w a 1",
+                                           "BEGIN",          "RUN w b 1",      "READ b",
+                                           "SAVE",           "READ c",         "WRITE d 1"};
+  for (const auto fault :
+       {StandIn::Fault::cut_before, StandIn::Fault::cut_after, StandIn::Fault::lose_answer,
+        StandIn::Fault::surplus_ready, StandIn::Fault::no_end})
     for (int strike = 1; strike < 24; ++strike) {
       SessionStage stage;
       SessionStage::Client client(stage);
@@ -117,23 +126,37 @@
       std::map<std::string, std::string> told;  // by thing: what the client was told of its commit
       for (const std::string& text : script) {
         stage.say(client, text);
-        cr_assert(client.last().kind == WireKind::ready, "%s unanswered, strike %d", text.c_str(), strike);
-        const std::string verdict = client.verdict(), stamp = "stamp try" + std::to_string(stage.last_try);
+        cr_assert(client.last().kind == WireKind::ready, "%s unanswered, strike %d", text.c_str(),
+                  strike);
+        const std::string verdict = client.verdict(),
+                          stamp = "stamp try" + std::to_string(stage.last_try);
         const bool is_asked = text.starts_with("R") || text.starts_with("W") || text == "SAVE";
-        if (verdict.empty()) cr_expect(client.heard[client.heard.size() - 2].field(0) == (is_asked ? stamp : "-"), "%s without its stamp, strike %d", text.c_str(), strike);
-        if (verdict.empty() && text == "READ c") cr_expect(client.heard[0].field(0) == "row of READ c", "strike %d", strike);
-        if (text == "RUN w a 1") told["a 1"] = verdict;
-        if (text == "SAVE") told["b 1"] = verdict;
-        if (text == "WRITE d 1") told["d 1"] = verdict;
+        if (verdict.empty())
+          cr_expect(client.heard[client.heard.size() - 2].field(0) == (is_asked ? stamp : "-"),
+                    "%s without its stamp, strike %d", text.c_str(), strike);
+        if (verdict.empty() && text == "READ c")
+          cr_expect(client.heard[0].field(0) == "row of READ c", "strike %d", strike);
+        if (text == "RUN w a 1")
+          told["a 1"] = verdict;
+        if (text == "SAVE")
+          told["b 1"] = verdict;
+        if (text == "WRITE d 1")
+          told["d 1"] = verdict;
       }
       for (const auto& [thing, verdict] : told) {
         int landed = 0;
-        for (const std::string& line : stage.databases["leader"].log) landed += line.ends_with(" " + thing);
+        for (const std::string& line : stage.databases["leader"].log)
+          landed += line.ends_with(" " + thing);
         cr_expect(landed <= 1, "%s landed %d times, strike %d", thing.c_str(), landed, strike);
-        if (verdict.empty()) cr_expect(landed == 1, "%s was acknowledged and is not there, strike %d", thing.c_str(), strike);
-        if (verdict == "UNDONE" || verdict == "BUSY") cr_expect(landed == 0, "%s was promised away and is there, strike %d", thing.c_str(), strike);
+        if (verdict.empty())
+          cr_expect(landed == 1, "%s was acknowledged and is not there, strike %d", thing.c_str(),
+                    strike);
+        if (verdict == "UNDONE" || verdict == "BUSY")
+          cr_expect(landed == 0, "%s was promised away and is there, strike %d", thing.c_str(),
+                    strike);
       }
-      for (const auto& [thing, values] : stage.databases["leader"].reads) cr_expect(values == Values({{"colour", "red"}}));
+      for (const auto& [thing, values] : stage.databases["leader"].reads)
+        cr_expect(values == Values({{"colour", "red"}}));
       cr_expect(client.last().field(0) == "I");
     }
 }
@@ -154,7 +177,8 @@
   read_wire(bytes, message);
   client.heard.clear();
   client.session->take(std::move(message), Clock::now());
-  for (int round = 0; round < 2 && stage.databases["leader"].log.empty(); ++round) stage.pump();
+  for (int round = 0; round < 2 && stage.databases["leader"].log.empty(); ++round)
+    stage.pump();
   cr_expect(stage.databases["leader"].log.size() == 1 && client.verdict().empty());
   bytes = wire_ask("u", "WRITE c 1");
   read_wire(bytes, message);
@@ -177,5 +201,6 @@
   stage.say(client, "READ a");
   cr_expect(client.verdict() == "LAGGING" && stage.databases["copy"].reads.size() == 1);
   stage.say(client, "WRITE a 1");
-  cr_expect(client.verdict().empty() && stage.databases["leader"].log.size() == 1, "writes go to the leader");
+  cr_expect(client.verdict().empty() && stage.databases["leader"].log.size() == 1,
+            "writes go to the leader");
 }
--- a/tests/shard_node.h
+++ b/tests/shard_node.h
@@ -1,6 +1,6 @@
 #pragma once
-// A stand-in shard node that does what nodes of the ring are asked, see docs/design/ring.md: it keeps writes by account,
-// takes part in moves, and turns away what it may not serve.
+// A stand-in shard node that does what nodes of the ring are asked, see docs/design/ring.md: it
+// keeps writes by account, takes part in moves, and turns away what it may not serve.
 #include <map>
 #include <optional>
 #include <string>
@@ -18,7 +18,8 @@
 inline RingHead head_for(const RingView& view, std::size_t node, bool has_units) {
   RingHead head{view.mark, {}, {}};
   const auto told = view.tellings.find(node);
-  if (has_units && told != view.tellings.end()) (told->second.is_shown ? head.shown : head.hidden) = told->second.unit;
+  if (has_units && told != view.tellings.end())
+    (told->second.is_shown ? head.shown : head.hidden) = told->second.unit;
   return head;
 }
 
@@ -38,65 +39,87 @@
   bool is_closing = true;  // the protection itself; taken out to see the checks fail
 
   bool holds(const std::optional<RingUnit>& unit, const std::string& account) const {
-    if (!unit) return false;
-    if (unit->is_account()) return unit->account == account;
+    if (!unit)
+      return false;
+    if (unit->is_account())
+      return unit->account == account;
     const auto found = copies.find(account);
-    return ring.find(account) == unit->virtual_node && found != copies.end() && !found->second.is_placed;
+    return ring.find(account) == unit->virtual_node && found != copies.end() &&
+           !found->second.is_placed;
   }
   // False: turned away, not run.
   bool write(int id, const std::string& account) {
     const auto found = copies.find(account);
-    if (found == copies.end() || (is_closing && found->second.is_closed)) return false;
+    if (found == copies.end() || (is_closing && found->second.is_closed))
+      return false;
     found->second.writes.push_back(id);
     return true;
   }
   bool read(const RingHead& head, const std::string& account, std::vector<int>& seen) const {
     const auto found = copies.find(account);
-    if (found == copies.end() || is_forgotten(head, account) || holds(head.hidden, account)) return false;
-    if (!found->second.is_shown && !holds(head.shown, account)) return false;
+    if (found == copies.end() || is_forgotten(head, account) || holds(head.hidden, account))
+      return false;
+    if (!found->second.is_shown && !holds(head.shown, account))
+      return false;
     seen = found->second.writes;
     return true;
   }
-  bool gather(const RingHead& head, std::vector<std::pair<std::string, std::vector<int>>>& seen) const {
+  bool gather(const RingHead& head,
+              std::vector<std::pair<std::string, std::vector<int>>>& seen) const {
     for (const auto& [account, mark] : dropped_)
-      if (head.mark < mark && holds(head.shown, account)) return false;
+      if (head.mark < mark && holds(head.shown, account))
+        return false;
     for (const auto& [account, copy] : copies)
-      if (!holds(head.hidden, account) && (copy.is_shown || holds(head.shown, account))) seen.push_back({account, copy.writes});
+      if (!holds(head.hidden, account) && (copy.is_shown || holds(head.shown, account)))
+        seen.push_back({account, copy.writes});
     return true;
   }
 
   NodeAnswer perform(const RingMoves::Order& order, ShardNode& other, double unit_mb, Moment now) {
     NodeAnswer answer;
-    if (down_until > now) return answer;
+    if (down_until > now)
+      return answer;
     answer.kind = NodeAnswer::Kind::told;
     answer.interface = node_interface;
     Work& work = works_[order.unit];
-    if (order.what == "describe") return answer.is_done = true, answer;
-    if (order.mark < work.mark) return answer;  // of an earlier step, late on its way
+    if (order.what == "describe")
+      return answer.is_done = true, answer;
+    if (order.mark < work.mark)
+      return answer;  // of an earlier step, late on its way
     work.mark = order.mark;
     answer.is_done = true;
     if (order.what == "open") {
-      for (Copy* copy : part(order.unit)) copy->is_closed = false, copy->is_shown = true, copy->is_placed = order.is_placed || (copy->is_placed && !order.unit.is_account());
+      for (Copy* copy : part(order.unit))
+        copy->is_closed = false, copy->is_shown = true,
+        copy->is_placed = order.is_placed || (copy->is_placed && !order.unit.is_account());
     } else if (order.what == "close") {
-      for (Copy* copy : part(order.unit)) copy->is_closed = true;
+      for (Copy* copy : part(order.unit))
+        copy->is_closed = true;
       answer.position = position(order.unit);
     } else if (order.what == "copy") {
-      if (work.since != Moment{}) work.copied += work.pace * std::min(0.8, std::chrono::duration<double>(now - work.since).count());
+      if (work.since != Moment{})
+        work.copied +=
+            work.pace * std::min(0.8, std::chrono::duration<double>(now - work.since).count());
       work.since = now;
       work.pace = order.mb_s;
       answer.share = std::min(1.0, work.copied / unit_mb);
       copying_mb_s = other.copying_mb_s = answer.share < 1 ? order.mb_s : 0;
       answer.is_done = answer.share >= 1 && other.down_until <= now;
-      if (answer.is_done) fetch(order.unit, other, true);
+      if (answer.is_done)
+        fetch(order.unit, other, true);
     } else if (order.what == "finish") {
-      if (other.down_until > now) return answer.is_done = false, answer;
+      if (other.down_until > now)
+        return answer.is_done = false, answer;
       fetch(order.unit, other, false);
       answer.position = position(order.unit);
     } else if (order.what == "retire") {
-      for (Copy* copy : part(order.unit)) copy->is_shown = false, copy->is_closed = true, copy->is_placed = copy->is_placed || order.unit.is_account();
+      for (Copy* copy : part(order.unit))
+        copy->is_shown = false, copy->is_closed = true,
+        copy->is_placed = copy->is_placed || order.unit.is_account();
     } else if (order.what == "drop" || order.what == "clear") {
       for (const std::string& account : names(order.unit)) {
-        if (order.what == "drop") dropped_[account] = order.mark;
+        if (order.what == "drop")
+          dropped_[account] = order.mark;
         copies.erase(account);
       }
       work.copied = 0, work.since = {};
@@ -117,24 +140,28 @@
   std::vector<std::string> names(const RingUnit& unit) const {
     std::vector<std::string> names;
     for (const auto& [account, copy] : copies)
-      if (unit.is_account() ? account == unit.account : holds(unit, account)) names.push_back(account);
+      if (unit.is_account() ? account == unit.account : holds(unit, account))
+        names.push_back(account);
     return names;
   }
   std::vector<Copy*> part(const RingUnit& unit) {
     std::vector<Copy*> part;
-    for (const std::string& account : names(unit)) part.push_back(&copies[account]);
+    for (const std::string& account : names(unit))
+      part.push_back(&copies[account]);
     return part;
   }
   std::uint64_t position(const RingUnit& unit) const {
     std::uint64_t count = 0;
-    for (const std::string& account : names(unit)) count += copies.at(account).writes.size();
+    for (const std::string& account : names(unit))
+      count += copies.at(account).writes.size();
     return count;
   }
   void fetch(const RingUnit& unit, ShardNode& other, bool is_first) {
     for (const std::string& account : other.names(unit)) {
       Copy& copy = copies[account];
       copy.writes = other.copies[account].writes;
-      if (is_first) copy.is_shown = false, copy.is_closed = true, copy.is_placed = unit.is_account();
+      if (is_first)
+        copy.is_shown = false, copy.is_closed = true, copy.is_placed = unit.is_account();
     }
   }
   std::map<RingUnit, Work> works_;
--- a/tests/stage.h
+++ b/tests/stage.h
@@ -18,8 +18,10 @@
     Backend* backend;
   };
   explicit Stage(const std::string& rule, int copies = 2, int tries = 2) {
-    const std::string body = R"({"version":1,"services":[{"name":"s0"},{"name":"s1"},{"name":"s2"},{"name":"s3"}],"routes":[{"host":"h",)"
-                             R"("path_start":"/a/","give_up_ms":1000,"target_ms":200,"tries":)" + std::to_string(tries) + "," + rule + "}]}";
+    const std::string body =
+        R"({"version":1,"services":[{"name":"s0"},{"name":"s1"},{"name":"s2"},{"name":"s3"}],"routes":[{"host":"h",)"
+        R"("path_start":"/a/","give_up_ms":1000,"target_ms":200,"tries":)" +
+        std::to_string(tries) + "," + rule + "}]}";
     ConfigurationSnapshot snapshot;
     const Fault found = read_configuration(body, snapshot);
     cr_assert(!found, "%s", found.text().c_str());
@@ -31,7 +33,8 @@
         auto backend = std::make_shared<Backend>();
         backend->id = "s" + std::to_string(service) + "-" + std::to_string(copy);
         backend->status = Status::up;
-        if (copy == 0) backend->region = "far";
+        if (copy == 0)
+          backend->region = "far";
         table->by_service[service].push_back(backend);
       }
     table_ = table;
@@ -45,28 +48,52 @@
     ++answers;
     final = std::move(answer);
   }
-  Budget& budget(const std::string& service) override { return budgets_.try_emplace(service, Span(10000), 0.2).first->second; }
-  double reserve(Moment) override { return extra_reserve; }
-  PickResult pick(const std::vector<BackendPointer>& backends, const std::vector<const Backend*>& tried, int, Moment now,
+  Budget& budget(const std::string& service) override {
+    return budgets_.try_emplace(service, Span(10000), 0.2).first->second;
+  }
+  double reserve(Moment) override {
+    return extra_reserve;
+  }
+  PickResult pick(const std::vector<BackendPointer>& backends,
+                  const std::vector<const Backend*>& tried, int, Moment now,
                   const PickWish& wish) override {
     return picker_.pick(backends, tried, 1000, now, wish);
   }
-  AidTaken call_aid(Errand&, Span, Moment) override { return {aided_parts, "far"}; }
-  void miss_aid(Errand&, Moment) override { ++missed_aids; }
-  PickWish wish(const Errand&, const std::string&, Moment) override { return own_wish; }
+  AidTaken call_aid(Errand&, Span, Moment) override {
+    return {aided_parts, "far"};
+  }
+  void miss_aid(Errand&, Moment) override {
+    ++missed_aids;
+  }
+  PickWish wish(const Errand&, const std::string&, Moment) override {
+    return own_wish;
+  }
   bool wait_turn(Errand&, Moment) override {
     ++turns_wanted;
     return has_turns;
   }
-  Pace& pace(const Rule&) override { return pace_; }
-  double draw() override { return 0.5; }
+  Pace& pace(const Rule&) override {
+    return pace_;
+  }
+  double draw() override {
+    return 0.5;
+  }
 
-  static BackendOutcome good(const std::string& seal, const std::string& body = "") { return {200, false, "OK", "", seal, body}; }
-  static BackendOutcome failed(int status, bool is_not_run) { return {status, is_not_run, "Bad", "X: y\r\n", "q", "failure"}; }
-  void take(std::size_t part, BackendOutcome outcome, Moment now = start + 20ms) { errand->take_outcome(part, std::move(outcome), Span(20), now); }
-  int status() const { return final.kind == Kind::none ? final.status : status_of(final.kind).status; }
+  static BackendOutcome good(const std::string& seal, const std::string& body = "") {
+    return {200, false, "OK", "", seal, body};
+  }
+  static BackendOutcome failed(int status, bool is_not_run) {
+    return {status, is_not_run, "Bad", "X: y\r\n", "q", "failure"};
+  }
+  void take(std::size_t part, BackendOutcome outcome, Moment now = start + 20ms) {
+    errand->take_outcome(part, std::move(outcome), Span(20), now);
+  }
+  int status() const {
+    return final.kind == Kind::none ? final.status : status_of(final.kind).status;
+  }
   void cancel_service(std::size_t service) {
-    for (const BackendPointer& backend : table_->by_service[service]) backend->is_cancelled = true;
+    for (const BackendPointer& backend : table_->by_service[service])
+      backend->is_cancelled = true;
   }
 
   std::vector<Asked> asked;
@@ -88,9 +115,11 @@
 
 inline const char single[] = R"("sort":"harmless","service":"s0")";
 inline const char risky[] = R"("sort":"risky","service":"s0")";
-inline const char gathered[] = R"("sort":"harmless","ask_all":["s0","s1","s2","s3"],"best_count":2,"fewest_parts":0.75)";
+inline const char gathered[] =
+    R"("sort":"harmless","ask_all":["s0","s1","s2","s3"],"best_count":2,"fewest_parts":0.75)";
 
-inline Aided frame(std::vector<Aided::Done> done, std::vector<Aided::Failed> failed, std::string records) {
+inline Aided frame(std::vector<Aided::Done> done, std::vector<Aided::Failed> failed,
+                   std::string records) {
   Aided aided;
   aided.done = std::move(done);
   aided.failed = std::move(failed);
@@ -98,6 +127,8 @@
   return aided;
 }
 
-inline std::string record(char letter) { return std::string(16, letter); }
+inline std::string record(char letter) {
+  return std::string(16, letter);
+}
 
 }  // namespace saddlewing::tests
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,7 +1,7 @@
 #include <criterion/criterion.h>
-#include <csignal>
 #include <sys/resource.h>
 #include <xxhash.h>
+#include <csignal>
 
 #include <boost/crc.hpp>
 
@@ -29,7 +29,8 @@
 
 std::string body_of(std::uint64_t index, std::size_t size) {
   std::string body;
-  while (body.size() < size) body += "state " + std::to_string(index) + ";";
+  while (body.size() < size)
+    body += "state " + std::to_string(index) + ";";
   return body;
 }
 
@@ -43,23 +44,29 @@
   Durable durable;
   const Found found = load(folder, durable);
   cr_assert(found != Found::unknown_format && found != Found::unreadable);
-  if (found != Found::record) return 0;
+  if (found != Found::record)
+    return 0;
   const std::uint64_t index = durable.entry->index.value;
-  cr_assert(durable.entry->body == body_of(index, size) && durable.self.value == 5 && durable.vote.value == 5);
+  cr_assert(durable.entry->body == body_of(index, size) && durable.self.value == 5 &&
+            durable.vote.value == 5);
   return index;
 }
 
-// Every outcome of a loss of power now leaves a record no older than `least` and no newer than `most`.
-std::size_t expect_losses(const DiskModel& disk, std::size_t count, std::uint64_t least, std::uint64_t most, std::size_t size) {
+// Every outcome of a loss of power now leaves a record no older than `least` and no newer than
+// `most`.
+std::size_t expect_losses(const DiskModel& disk, std::size_t count, std::uint64_t least,
+                          std::uint64_t most, std::size_t size) {
   const Folder after;
   return disk.for_each_loss(count, least * 31 + most, [&](const Files& files) {
     fill_folder(after.path(), files);
     const std::uint64_t index = index_in(after.path(), size);
-    cr_assert(index >= least && index <= most, "found %d, of %d to %d", int(index), int(least), int(most));
+    cr_assert(index >= least && index <= most, "found %d, of %d to %d", int(index), int(least),
+              int(most));
   });
 }
 
-// As the landing before the slots wrote it: fresh.mdb, synced, renamed over state.mdb, its record closed by a CRC.
+// As the landing before the slots wrote it: fresh.mdb, synced, renamed over state.mdb, its record
+// closed by a CRC.
 std::string first_format(const Durable& durable) {
   Writer writer;
   writer.number(1).number(durable.self.value).number(durable.term.value).number(durable.vote.value);
@@ -73,7 +80,8 @@
 bool save_by_rename(DiskModel& disk, const std::string& folder, const Durable& durable) {
   const std::string fresh = folder + "/fresh.mdb";
   disk.remove(fresh);
-  return !disk.clear(fresh) && !disk.write_image(fresh, first_format(durable)) && !disk.sync(fresh) && !disk.rename(fresh, folder + "/state.mdb") &&
+  return !disk.clear(fresh) && !disk.write_image(fresh, first_format(durable)) &&
+         !disk.sync(fresh) && !disk.rename(fresh, folder + "/state.mdb") &&
          !disk.sync_folder(folder);
 }
 
@@ -88,7 +96,8 @@
   cr_assert(!store.save(durable_of(1, "one")));
   cr_assert(!store.save(durable_of(2, std::string(200000, 'x'))));
   cr_assert(store.load(found, why) == Found::record);
-  cr_expect(found.entry->index.value == 2 && found.entry->body.size() == 200000 && found.self.value == 5);
+  cr_expect(found.entry->index.value == 2 && found.entry->body.size() == 200000 &&
+            found.self.value == 5);
   cr_expect(found.entry->members == durable_of(2, "").entry->members);
   for (std::uint64_t index = 3; index < 9; ++index) {  // of a new life each
     cr_assert(!Store(folder.path()).save(durable_of(index, "again")));
@@ -97,8 +106,8 @@
   }
 }
 
-// Each operation of a save fails in turn, in each way: the save says so and the record before it stays whole, also
-// after a loss of power, and the next save passes.
+// Each operation of a save fails in turn, in each way: the save says so and the record before it
+// stays whole, also after a loss of power, and the next save passes.
 Test(store, a_failure_at_any_point_leaves_the_record_before) {
   for (const std::uint64_t before : {1, 2, 3})
     for (const Failure failure : {Failure::refused, Failure::half, Failure::late, Failure::dropped})
@@ -106,7 +115,8 @@
         const Folder folder;
         const auto disk = std::make_shared<DiskModel>(folder.path());
         Store store(folder.path(), disk);
-        for (std::uint64_t index = 1; index <= before; ++index) cr_assert(!store.save(durable_of(index, body_of(index, 40))));
+        for (std::uint64_t index = 1; index <= before; ++index)
+          cr_assert(!store.save(durable_of(index, body_of(index, 40))));
         disk->fail(number, failure);
         const int begun = disk->operations();
         const bool is_saved = !store.save(durable_of(before + 1, body_of(before + 1, 40)));
@@ -124,7 +134,8 @@
       }
 }
 
-// Power is lost between any two operations of the first saves, with every outcome of what was not synced.
+// Power is lost between any two operations of the first saves, with every outcome of what was not
+// synced.
 Test(store, a_loss_of_power_at_any_point_leaves_the_last_record_or_the_one_being_saved) {
   for (const bool is_strict : {false, true})
     for (const std::size_t size : {40, 9000}) {
@@ -134,7 +145,9 @@
       Store store(folder.path(), disk);
       std::uint64_t saved = 0;
       std::size_t tried = 0;
-      disk->after_each = [&] { tried += expect_losses(*disk, size == 40 ? 4096 : 400, saved, saved + 1, size); };
+      disk->after_each = [&] {
+        tried += expect_losses(*disk, size == 40 ? 4096 : 400, saved, saved + 1, size);
+      };
       for (std::uint64_t index = 1; index <= 4; ++index) {
         cr_assert(!store.save(durable_of(index, body_of(index, size))));
         saved = index;
@@ -144,7 +157,8 @@
     }
 }
 
-// The process is killed at any operation, its successor saves on, and power is lost at any point of that.
+// The process is killed at any operation, its successor saves on, and power is lost at any point of
+// that.
 Test(store, a_kill_and_then_a_loss_of_power_lose_nothing_saved) {
   for (const bool is_strict : {false, true})
     for (const std::uint64_t before : {1, 2})
@@ -153,16 +167,20 @@
         const auto disk = std::make_shared<DiskModel>(folder.path());
         disk->is_strict = is_strict;
         Store first(folder.path(), disk);
-        for (std::uint64_t index = 1; index <= before; ++index) cr_assert(!first.save(durable_of(index, body_of(index, 40))));
+        for (std::uint64_t index = 1; index <= before; ++index)
+          cr_assert(!first.save(durable_of(index, body_of(index, 40))));
         disk->fail(number, Failure::killed);
-        std::uint64_t saved = first.save(durable_of(before + 1, body_of(before + 1, 40))) ? before : before + 1;
+        std::uint64_t saved =
+            first.save(durable_of(before + 1, body_of(before + 1, 40))) ? before : before + 1;
         is_killed = disk->is_dead();
         cr_assert((saved == before) == is_killed && (is_killed || number > 4));
         disk->recover();
         const std::uint64_t held = index_in(folder.path(), 40);
         cr_assert(held >= saved && held <= before + 1);
         Store second(folder.path(), disk);
-        disk->after_each = [&] { expect_losses(*disk, 300, saved, saved < before + 2 ? before + 2 : before + 3, 40); };
+        disk->after_each = [&] {
+          expect_losses(*disk, 300, saved, saved < before + 2 ? before + 2 : before + 3, 40);
+        };
         for (const std::uint64_t index : {before + 2, before + 3}) {
           cr_assert(!second.save(durable_of(index, body_of(index, 40))));
           saved = index;
@@ -182,19 +200,24 @@
     std::uint64_t saved = 0, tried = 0;
     for (int step = 0; step < 14; ++step) {
       const auto draw = random() % 8;
-      if (draw < 5 && draw) disk->fail(1 + static_cast<int>(random() % 7), static_cast<Failure>(random() % 5));
-      if (!store->save(durable_of(tried + 1, body_of(tried + 1, size)))) saved = tried + 1;
+      if (draw < 5 && draw)
+        disk->fail(1 + static_cast<int>(random() % 7), static_cast<Failure>(random() % 5));
+      if (!store->save(durable_of(tried + 1, body_of(tried + 1, size))))
+        saved = tried + 1;
       ++tried;
       const bool is_killed = disk->is_dead() || draw == 5;
       disk->recover();
       cr_assert(index_in(folder.path(), size) >= saved, "day %d step %d", int(seed), step);
-      if (is_killed) store = std::make_unique<Store>(folder.path(), disk);
-      if (draw < 6) continue;
+      if (is_killed)
+        store = std::make_unique<Store>(folder.path(), disk);
+      if (draw < 6)
+        continue;
       std::vector<Files> outcomes;
       disk->for_each_loss(40, random(), [&](const Files& files) { outcomes.push_back(files); });
       disk->lose(outcomes[random() % outcomes.size()]);
       const std::uint64_t index = index_in(folder.path(), size);
-      cr_assert(index >= saved && index <= tried, "day %d step %d: %d, saved %d", int(seed), step, int(index), int(saved));
+      cr_assert(index >= saved && index <= tried, "day %d step %d: %d, saved %d", int(seed), step,
+                int(index), int(saved));
       store = std::make_unique<Store>(folder.path(), disk);
     }
   }
@@ -218,38 +241,54 @@
   cr_expect(lost > 0);
 }
 
-// What the landing before wrote is read, whichever of its names a loss of power left, until a slot was synced.
+// What the landing before wrote is read, whichever of its names a loss of power left, until a slot
+// was synced.
 Test(store, a_store_of_before_the_slots_is_read) {
   for (const std::size_t size : {40, 9000, 400000}) {
     const Folder folder, old, after;
     Disk plain;
     for (const std::uint64_t index : {1, 2})
-      cr_assert(!plain.write_image(old.path() + "/" + std::to_string(index), first_format(durable_of(index, body_of(index, size)))));
+      cr_assert(!plain.write_image(old.path() + "/" + std::to_string(index),
+                                   first_format(durable_of(index, body_of(index, size)))));
     const std::string one = read_file(old.path() + "/1"), two = read_file(old.path() + "/2");
-    const std::string torn = two.substr(0, two.size() / 2) + std::string(two.size() - two.size() / 2, 0);
+    const std::string torn =
+        two.substr(0, two.size() / 2) + std::string(two.size() - two.size() / 2, 0);
     const struct {
       Files files;
       std::uint64_t index;
-    } rows[] = {{{{"state.mdb", two}}, 2},  {{{"state.mdb", one}, {"fresh.mdb", two}}, 2}, {{{"state.mdb", two}, {"fresh.mdb", one}}, 2},
-                {{{"fresh.mdb", two}}, 2},  {{{"state.mdb", one}, {"fresh.mdb", torn}}, 1}, {{{"state.mdb", one}, {"fresh.mdb", ""}}, 1},
-                {{{"state.mdb", torn}}, 0}, {{{"state.mdb", torn}, {"fresh.mdb", one}}, 0}};
+    } rows[] = {{{{"state.mdb", two}}, 2},
+                {{{"state.mdb", one}, {"fresh.mdb", two}}, 2},
+                {{{"state.mdb", two}, {"fresh.mdb", one}}, 2},
+                {{{"fresh.mdb", two}}, 2},
+                {{{"state.mdb", one}, {"fresh.mdb", torn}}, 1},
+                {{{"state.mdb", one}, {"fresh.mdb", ""}}, 1},
+                {{{"state.mdb", torn}}, 0},
+                {{{"state.mdb", torn}, {"fresh.mdb", one}}, 0}};
     for (const auto& row : rows) {
       const auto disk = std::make_shared<DiskModel>(folder.path());
       disk->lose(row.files);
       cr_expect(index_in(folder.path(), size) == row.index);
       Store store(folder.path(), disk);
       std::uint64_t saved = row.index;
-      disk->after_each = [&] { expect_losses(*disk, size > 9000 ? 4 : size > 40 ? 60 : 200, saved, std::max<std::uint64_t>(saved, 2) + 1, size); };
+      disk->after_each = [&] {
+        expect_losses(*disk,
+                      size > 9000 ? 4
+                      : size > 40 ? 60
+                                  : 200,
+                      saved, std::max<std::uint64_t>(saved, 2) + 1, size);
+      };
       for (const std::uint64_t index : {3, 4}) {
         cr_assert(!store.save(durable_of(index, body_of(index, size))));
         saved = index;
       }
-      cr_expect(!read_folder(folder.path()).contains("state.mdb") && !read_folder(folder.path()).contains("fresh.mdb"));
+      cr_expect(!read_folder(folder.path()).contains("state.mdb") &&
+                !read_folder(folder.path()).contains("fresh.mdb"));
     }
   }
 }
 
-// Any byte changed, any length cut: named as damaged, or as never sealed, and never served. LMDB would end the process on some.
+// Any byte changed, any length cut: named as damaged, or as never sealed, and never served. LMDB
+// would end the process on some.
 Test(store, a_damaged_record_is_never_served) {
   const Folder folder;
   cr_assert(!Store(folder.path()).save(durable_of(1, std::string(5000, 'q'))));
@@ -260,13 +299,15 @@
     changed[at] ^= 1 << at % 8;
     write_file(path, changed);
     const bool is_mark = at >= bytes.size() - 16 && at < bytes.size() - 8;
-    cr_assert(load(folder.path(), found) == (is_mark ? Found::nothing : Found::damaged), "byte %d", int(at));
+    cr_assert(load(folder.path(), found) == (is_mark ? Found::nothing : Found::damaged), "byte %d",
+              int(at));
   }
   for (std::size_t size = 0; size < bytes.size(); size += size % 64 ? 1 : 61) {
     write_file(path, bytes.substr(0, size));
     cr_assert(load(folder.path(), found) == Found::nothing, "cut to %d", int(size));
   }
-  write_file(folder.path() + "/slot-1.mdb", "");  // begun after slot 0 was synced: something was lost
+  write_file(folder.path() + "/slot-1.mdb",
+             "");  // begun after slot 0 was synced: something was lost
   cr_expect(load(folder.path(), found) == Found::damaged);
 }
 
@@ -292,11 +333,13 @@
   }
 }
 
-// In either slot, or in a file of before the slots: refused by name, nothing served, nothing written.
+// In either slot, or in a file of before the slots: refused by name, nothing served, nothing
+// written.
 Test(store, an_unknown_format_is_refused_and_left_alone) {
   const Folder folder, old;
   Store store(folder.path());
-  for (const std::uint64_t index : {1, 2}) cr_assert(!store.save(durable_of(index, body_of(index, 40))));
+  for (const std::uint64_t index : {1, 2})
+    cr_assert(!store.save(durable_of(index, body_of(index, 40))));
   const Files whole = read_folder(folder.path());
   const std::string first = whole.at("slot-0.mdb"), second = whole.at("slot-1.mdb");
   std::string record = encode_durable(durable_of(1, "later"));
@@ -317,13 +360,16 @@
     Fault why;
     Store later(folder.path());
     cr_expect(later.load(found, why) == Found::unknown_format);
-    cr_expect(why.text().find("format") != std::string::npos && why.text().find(".mdb") != std::string::npos, "%s", why.text().c_str());
+    cr_expect(why.text().find("format") != std::string::npos &&
+                  why.text().find(".mdb") != std::string::npos,
+              "%s", why.text().c_str());
     cr_expect(later.save(durable_of(9, "nine")));
     cr_expect(read_folder(folder.path()) == files);
   }
 }
 
-// What cannot be read may be the newest record: it is neither served nor written over, and no core is founded.
+// What cannot be read may be the newest record: it is neither served nor written over, and no core
+// is founded.
 Test(store, an_unreadable_slot_is_refused) {
   const Folder folder;
   Store store(folder.path());
@@ -364,12 +410,14 @@
   const Folder folder;
   const auto disk = std::make_shared<DiskModel>(folder.path());
   Store store(folder.path(), disk);
-  for (const std::uint64_t index : {1, 2}) cr_assert(!store.save(durable_of(index, body_of(index, 40))));
+  for (const std::uint64_t index : {1, 2})
+    cr_assert(!store.save(durable_of(index, body_of(index, 40))));
   for (const std::size_t size : {4000, 4000000}) {
     const int syncs = disk->syncs();
     const std::uint64_t written = disk->written();
     cr_assert(!store.save(durable_of(3, body_of(3, size))));
     cr_expect(disk->syncs() - syncs == 1);
-    cr_expect(disk->written() - written < size + 5 * 4096, "%d bytes", int(disk->written() - written));
+    cr_expect(disk->written() - written < size + 5 * 4096, "%d bytes",
+              int(disk->written() - written));
   }
 }
--- a/tests/traffic_test.cpp
+++ b/tests/traffic_test.cpp
@@ -4,7 +4,8 @@
 
 using namespace saddlewing;
 
-// A broker that has just started may be asked for aid by one that knew its former life. It once ended by that.
+// A broker that has just started may be asked for aid by one that knew its former life. It once
+// ended by that.
 Test(traffic, aid_asked_before_the_first_view_is_answered_by_failed_parts) {
   Startup startup;
   startup.ip_address = "127.0.0.1";
--- a/tools/capacity.cpp
+++ b/tools/capacity.cpp
@@ -1,5 +1,6 @@
-// Measures what a registry and a broker cost as nodes, backends, changes and cells grow: real processes of this project,
-// with a stand-in platform and backends, and hollow brokers that share this process. Prints one JSON line a run.
+// Measures what a registry and a broker cost as nodes, backends, changes and cells grow: real
+// processes of this project, with a stand-in platform and backends, and hollow brokers that share
+// this process. Prints one JSON line a run.
 #include <json/json.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -27,7 +28,8 @@
 
 namespace {
 
-constexpr double registry_mb = 40, hollow_mb = 0.12, backend_mb = 0.02;  // guesses for the check before a run
+constexpr double registry_mb = 40, hollow_mb = 0.12,
+                 backend_mb = 0.02;  // guesses for the check before a run
 constexpr Span follow_every{400}, fetch_again{600}, count_every{1000};  // as a broker does
 
 std::string write(const Json::Value& value) {
@@ -36,13 +38,17 @@
   return Json::writeString(builder, value);
 }
 
-std::string service_name(int number) { return "index-" + std::to_string(number); }
+std::string service_name(int number) {
+  return "index-" + std::to_string(number);
+}
 
 // The platform's list and every backend's health answer, on one port.
 class Platform final : public Server::Handler {
  public:
   Platform(Poller& poller, Schedule& schedule, int backends, int services)
-      : server_(poller, schedule, *this, 65536, std::size_t{1} << 30), backends_(backends), services_(services) {
+      : server_(poller, schedule, *this, 65536, std::size_t{1} << 30),
+        backends_(backends),
+        services_(services) {
     server_.set_limits({65536, 8 << 20, Span(60000), Span(600000)});
   }
   Fault open(const Address& address) {
@@ -53,7 +59,11 @@
     const std::string& target = visit.request().getURI();
     if (!target.starts_with("/backends")) {
       ++probes;
-      return visit.answer({200, "OK", std::string(field::server_id) + ": " + visit.request().get(field::meant_server, "") + "\r\n", "well\n"}, now);
+      return visit.answer({200, "OK",
+                           std::string(field::server_id) + ": " +
+                               visit.request().get(field::meant_server, "") + "\r\n",
+                           "well\n"},
+                          now);
     }
     constexpr int page = 500;
     const auto place = target.find("page_token=");
@@ -70,14 +80,19 @@
       // The one that is replaced now and then, so that rosters change.
       value["state"] = "ready";
       value["warm_left_ms"] = 0;
-      value["id"] = "backend-" + std::to_string(number) + (number == 0 ? "-" + std::to_string(replaced) : "");
+      value["id"] =
+          "backend-" + std::to_string(number) + (number == 0 ? "-" + std::to_string(replaced) : "");
       root["backends"].append(value);
     }
-    root["next_token"] = first + page < backends_ ? Json::Value(std::to_string(first + page)) : Json::Value();
+    root["next_token"] =
+        first + page < backends_ ? Json::Value(std::to_string(first + page)) : Json::Value();
     visit.answer({200, "OK", "Content-Type: application/json\r\n", write(root)}, now);
   }
-  void on_gone(Visit&) override {}
-  void reap() { server_.reap(); }
+  void on_gone(Visit&) override {
+  }
+  void reap() {
+    server_.reap();
+  }
   int replaced = 0;
   std::uint64_t probes = 0;
 
@@ -90,18 +105,27 @@
 // One call after another to the registry's control address.
 class Operator final : public CallOwner {
  public:
-  Operator(Poller& poller, const Address& address) : poller_(poller), address_(address) {}
+  Operator(Poller& poller, const Address& address) : poller_(poller), address_(address) {
+  }
   void put(const std::string& body) {
-    if (is_waiting) return;
-    if (!caller_ || caller_->state() == Caller::State::ended) caller_ = std::make_unique<Caller>(poller_, *this, address_, 65536, 1 << 20);
-    is_waiting = caller_->ask("PUT /settings HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body, false);
+    if (is_waiting)
+      return;
+    if (!caller_ || caller_->state() == Caller::State::ended)
+      caller_ = std::make_unique<Caller>(poller_, *this, address_, 65536, 1 << 20);
+    is_waiting = caller_->ask(
+        "PUT /settings HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: " +
+            std::to_string(body.size()) + "\r\n\r\n" + body,
+        false);
   }
   void on_outcome(Caller& caller, Moment) override {
     is_waiting = false;
     taken += caller.reader().response().getStatus() == 200;
   }
-  void on_breakdown(Caller&, Kind, Moment) override { is_waiting = false; }
-  void on_idle_end(Caller&) override {}
+  void on_breakdown(Caller&, Kind, Moment) override {
+    is_waiting = false;
+  }
+  void on_idle_end(Caller&) override {
+  }
   bool is_waiting = false;
   int taken = 0;
 
@@ -134,11 +158,13 @@
   Usage usage;
   std::ifstream file("/proc/" + std::to_string(process) + "/stat");
   std::string text((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
-  if (text.rfind(')') == std::string::npos) return usage;
+  if (text.rfind(')') == std::string::npos)
+    return usage;
   std::istringstream fields(text.substr(text.rfind(')') + 2));
   std::string skipped;
   double user = 0, kernel = 0;
-  for (int place = 3; place < 14; ++place) fields >> skipped;
+  for (int place = 3; place < 14; ++place)
+    fields >> skipped;
   fields >> user >> kernel;
   usage.processor_s = (user + kernel) / static_cast<double>(sysconf(_SC_CLK_TCK));
   std::ifstream memory("/proc/" + std::to_string(process) + "/statm");
@@ -151,24 +177,32 @@
 // A process of this project, ended with its handle.
 class Process {
  public:
-  Process(const std::string& binary, const std::string& role, const std::filesystem::path& folder, const Json::Value& settings) {
+  Process(const std::string& binary, const std::string& role, const std::filesystem::path& folder,
+          const Json::Value& settings) {
     const std::filesystem::path path = folder / (role + ".json");
     std::ofstream(path) << write(settings);
     id_ = ::fork();
-    if (id_ != 0) return;
-    if (!std::freopen((folder / (role + ".log")).c_str(), "w", stderr)) ::_exit(126);
+    if (id_ != 0)
+      return;
+    if (!std::freopen((folder / (role + ".log")).c_str(), "w", stderr))
+      ::_exit(126);
     ::execl(binary.c_str(), binary.c_str(), role.c_str(), "--startup", path.c_str(), nullptr);
     ::_exit(127);
   }
   ~Process() {
-    if (id_ <= 0) return;
+    if (id_ <= 0)
+      return;
     ::kill(id_, SIGKILL);
     ::waitpid(id_, nullptr, 0);
   }
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
-  Usage usage() const { return usage_of(id_); }
-  bool is_running() const { return ::waitpid(id_, nullptr, WNOHANG) == 0; }
+  Usage usage() const {
+    return usage_of(id_);
+  }
+  bool is_running() const {
+    return ::waitpid(id_, nullptr, WNOHANG) == 0;
+  }
 
  private:
   pid_t id_ = -1;
@@ -200,7 +234,8 @@
   return write(root);
 }
 
-Json::Value settings(const std::string& name, const Wanted& wanted, int port, const std::filesystem::path& folder, const Address& platform) {
+Json::Value settings(const std::string& name, const Wanted& wanted, int port,
+                     const std::filesystem::path& folder, const Address& platform) {
   Json::Value root(Json::objectValue);
   root["node_name"] = name;
   root["ip_address"] = "127.0.0.1";
@@ -219,20 +254,24 @@
   root["limits"]["memory_mb"] = 4096;
   root["limits"]["file_handles"] = 65536;
   root["can_lose"]["machines"] = 0;
-  if (wanted.edge_cells) root["options"]["edges"] = true;
+  if (wanted.edge_cells)
+    root["options"]["edges"] = true;
   return root;
 }
 
-// A stand-in for a broker: it follows as a real one does, in real frames over a real socket, and serves nobody.
+// A stand-in for a broker: it follows as a real one does, in real frames over a real socket, and
+// serves nobody.
 class Hollows {
  public:
   Hollows(int count, int port, int cells) {
     const Moment now = Clock::now();
     for (int number = 0; number < count; ++number) {
-      if (number % per_context == 0) contexts_.push_back(std::make_unique<LinkContext>());
+      if (number % per_context == 0)
+        contexts_.push_back(std::make_unique<LinkContext>());
       Hollow hollow;
       hollow.spoke = std::make_unique<Spoke>(*contexts_.back(), Address{"127.0.0.1", port});
-      hollow.address = "10.1." + std::to_string(number / 250) + "." + std::to_string(number % 250) + ":7001";
+      hollow.address =
+          "10.1." + std::to_string(number / 250) + "." + std::to_string(number % 250) + ":7001";
       hollow.due = now + follow_every * number / std::max(1, count);
       hollows_.push_back(std::move(hollow));
     }
@@ -240,14 +279,18 @@
   }
   void turn(Moment now) {
     for (Hollow& hollow : hollows_) {
-      while (auto parcel = hollow.spoke->receive()) take(hollow, *parcel);
-      if (now < hollow.due) continue;
+      while (auto parcel = hollow.spoke->receive())
+        take(hollow, *parcel);
+      if (now < hollow.due)
+        continue;
       hollow.due = now + follow_every;
       follow(hollow);
     }
   }
   std::size_t holding(Version version) const {
-    return static_cast<std::size_t>(std::count_if(hollows_.begin(), hollows_.end(), [&](const Hollow& hollow) { return hollow.held >= version; }));
+    return static_cast<std::size_t>(
+        std::count_if(hollows_.begin(), hollows_.end(),
+                      [&](const Hollow& hollow) { return hollow.held >= version; }));
   }
   std::uint64_t sent_bytes = 0, sent = 0, heard_bytes = 0, heard = 0;
 
@@ -267,32 +310,42 @@
     if (const Moment now = Clock::now(); cells_ && now - hollow.counted >= count_every) {
       hollow.counted = now;
       EdgeCounts counts(static_cast<std::size_t>(cells_));
-      for (int cell = 0; cell < cells_; ++cell) counts.add({service_name(cell), "zone-" + std::to_string(cell % 9), EdgeClass::light}, 10 + cell % 30, false);
+      for (int cell = 0; cell < cells_; ++cell)
+        counts.add({service_name(cell), "zone-" + std::to_string(cell % 9), EdgeClass::light},
+                   10 + cell % 30, false);
       follow.edge_counts = counts.take();
     }
-    const std::string bytes = encode(FrameHead{FrameKind::follow, LifeId{7}, hollow.address}, follow);
-    if (hollow.spoke->send(bytes)) ++sent, sent_bytes += bytes.size();
+    const std::string bytes =
+        encode(FrameHead{FrameKind::follow, LifeId{7}, hollow.address}, follow);
+    if (hollow.spoke->send(bytes))
+      ++sent, sent_bytes += bytes.size();
   }
   void take(Hollow& hollow, const Parcel& parcel) {
     ++heard, heard_bytes += parcel.bytes.size();
     ByteReader reader(parcel.bytes);
     FrameHead head;
-    if (!decode_head(reader, head)) return;
+    if (!decode_head(reader, head))
+      return;
     if (head.kind == FrameKind::beat) {
       Beat beat;
-      if (!decode(reader, beat)) return;
+      if (!decode(reader, beat))
+        return;
       hollow.seats_mark = beat.seats_mark;
       const Moment now = Clock::now();
-      if (beat.version <= hollow.held || (beat.version == hollow.wanted && now - hollow.fetched < fetch_again)) return;
+      if (beat.version <= hollow.held ||
+          (beat.version == hollow.wanted && now - hollow.fetched < fetch_again))
+        return;
       hollow.wanted = beat.version;
       hollow.fetched = now;
       follow(hollow, true);
     } else if (head.kind == FrameKind::body) {
       Body body;
-      if (decode(reader, body)) hollow.held = std::max(hollow.held, body.version);
+      if (decode(reader, body))
+        hollow.held = std::max(hollow.held, body.version);
     } else if (head.kind == FrameKind::roster) {
       Roster roster;
-      if (decode(reader, roster)) hollow.life = head.life.value, hollow.mark = roster.mark;
+      if (decode(reader, roster))
+        hollow.life = head.life.value, hollow.mark = roster.mark;
     }
   }
   std::vector<std::unique_ptr<LinkContext>> contexts_;
@@ -302,17 +355,21 @@
 
 // Null: it did not come up.
 Json::Value run(const Wanted& wanted) {
-  const std::filesystem::path folder = std::filesystem::temp_directory_path() / ("saddlewing-capacity-" + std::to_string(::getpid()));
+  const std::filesystem::path folder = std::filesystem::temp_directory_path() /
+                                       ("saddlewing-capacity-" + std::to_string(::getpid()));
   std::filesystem::remove_all(folder);
   std::filesystem::create_directories(folder / "data");
   Poller poller;
   Schedule schedule;
   Platform platform(poller, schedule, wanted.backends, wanted.services);
   const int port = wanted.first_port;
-  if (platform.open({"127.0.0.1", port + 9})) return {};
-  const Json::Value told = settings("registry-1", wanted, port, folder / "data", {"127.0.0.1", port + 9});
+  if (platform.open({"127.0.0.1", port + 9}))
+    return {};
+  const Json::Value told =
+      settings("registry-1", wanted, port, folder / "data", {"127.0.0.1", port + 9});
   Process registry(wanted.binary, "registry", folder, told);
-  Json::Value broker_settings = settings("broker-1", wanted, port, folder / "data", {"127.0.0.1", port + 9});
+  Json::Value broker_settings =
+      settings("broker-1", wanted, port, folder / "data", {"127.0.0.1", port + 9});
   Process broker(wanted.binary, "broker", folder, broker_settings);
   Hollows hollows(wanted.brokers, port, wanted.edge_cells);
   Operator caller(poller, {"127.0.0.1", port + 2});
@@ -325,33 +382,43 @@
     hollows.turn(now);
   };
   const Moment born = Clock::now();
-  while (Clock::now() < born + 30s && (caller.taken == 0 || hollows.holding(Version{1}) < static_cast<std::size_t>(wanted.brokers))) {
+  while (Clock::now() < born + 30s &&
+         (caller.taken == 0 ||
+          hollows.holding(Version{1}) < static_cast<std::size_t>(wanted.brokers))) {
     const Moment now = Clock::now();
-    if (caller.taken == 0 && now - put_at > 300ms) put_at = now, caller.put(configuration(version, wanted));
+    if (caller.taken == 0 && now - put_at > 300ms)
+      put_at = now, caller.put(configuration(version, wanted));
     turn(now);
   }
-  if (caller.taken == 0 || !registry.is_running() || !broker.is_running()) return {};
-  for (const Moment until = Clock::now() + 3s; Clock::now() < until;) turn(Clock::now());
+  if (caller.taken == 0 || !registry.is_running() || !broker.is_running())
+    return {};
+  for (const Moment until = Clock::now() + 3s; Clock::now() < until;)
+    turn(Clock::now());
   const Usage registry_before = registry.usage(), broker_before = broker.usage();
-  const std::uint64_t sent = hollows.sent, sent_bytes = hollows.sent_bytes, heard = hollows.heard, heard_bytes = hollows.heard_bytes, probes = platform.probes;
+  const std::uint64_t sent = hollows.sent, sent_bytes = hollows.sent_bytes, heard = hollows.heard,
+                      heard_bytes = hollows.heard_bytes, probes = platform.probes;
   const Moment began = Clock::now();
   Moment change_due = began, replace_due = began;
   std::vector<double> spreads;  // how long until all hold a change
   Moment changed{};
-  while (Clock::now() < began + std::chrono::milliseconds(static_cast<std::int64_t>(wanted.seconds * 1000))) {
+  while (Clock::now() <
+         began + std::chrono::milliseconds(static_cast<std::int64_t>(wanted.seconds * 1000))) {
     const Moment now = Clock::now();
     if (wanted.changes_per_s > 0 && now >= change_due && !caller.is_waiting) {
-      change_due = now + std::chrono::microseconds(static_cast<std::int64_t>(1e6 / wanted.changes_per_s));
+      change_due =
+          now + std::chrono::microseconds(static_cast<std::int64_t>(1e6 / wanted.changes_per_s));
       caller.put(configuration(++version, wanted));
       ++put;
       changed = now;
     }
     if (wanted.replacements_per_s > 0 && now >= replace_due) {
-      replace_due = now + std::chrono::microseconds(static_cast<std::int64_t>(1e6 / wanted.replacements_per_s));
+      replace_due = now + std::chrono::microseconds(
+                              static_cast<std::int64_t>(1e6 / wanted.replacements_per_s));
       ++platform.replaced;
     }
     turn(now);
-    if (changed != Moment{} && hollows.holding(Version{version}) == static_cast<std::size_t>(wanted.brokers)) {
+    if (changed != Moment{} &&
+        hollows.holding(Version{version}) == static_cast<std::size_t>(wanted.brokers)) {
       spreads.push_back(std::chrono::duration<double, std::milli>(Clock::now() - changed).count());
       changed = {};
     }
@@ -371,30 +438,45 @@
   result["registry_mb"] = registry_after.memory_mb;
   result["broker_cores"] = (broker_after.processor_s - broker_before.processor_s) / span;
   result["broker_mb"] = broker_after.memory_mb;
-  result["bytes_out_per_broker_s"] = static_cast<double>(hollows.heard_bytes - heard_bytes) / span / wanted.brokers;
-  result["bytes_in_per_broker_s"] = static_cast<double>(hollows.sent_bytes - sent_bytes) / span / wanted.brokers;
-  result["frames_per_broker_s"] = static_cast<double>(hollows.heard - heard + hollows.sent - sent) / span / wanted.brokers;
+  result["bytes_out_per_broker_s"] =
+      static_cast<double>(hollows.heard_bytes - heard_bytes) / span / wanted.brokers;
+  result["bytes_in_per_broker_s"] =
+      static_cast<double>(hollows.sent_bytes - sent_bytes) / span / wanted.brokers;
+  result["frames_per_broker_s"] =
+      static_cast<double>(hollows.heard - heard + hollows.sent - sent) / span / wanted.brokers;
   result["probes_per_s"] = static_cast<double>(platform.probes - probes) / span;
-  result["held_by_all_ms"] = spreads.empty() ? Json::Value() : Json::Value(spreads[spreads.size() / 2]);
+  result["held_by_all_ms"] =
+      spreads.empty() ? Json::Value() : Json::Value(spreads[spreads.size() / 2]);
   result["body_bytes"] = Json::UInt64(configuration(version, wanted).size());
   result["packed_bytes"] = Json::UInt64(pack(configuration(version, wanted)).size());
   std::filesystem::remove_all(folder);
   return result;
 }
 
-double estimate_mb(const Wanted& wanted) { return registry_mb * 2 + hollow_mb * wanted.brokers + 3 * backend_mb * wanted.backends; }
+double estimate_mb(const Wanted& wanted) {
+  return registry_mb * 2 + hollow_mb * wanted.brokers + 3 * backend_mb * wanted.backends;
+}
 
 }  // namespace
 
 int main(int count, char** words) {
-  cxxopts::Options options("saddlewing_capacity", "Measures one registry and one broker beside hollow brokers, stand-in backends and an operator.");
+  cxxopts::Options options("saddlewing_capacity",
+                           "Measures one registry and one broker beside hollow brokers, stand-in "
+                           "backends and an operator.");
   Wanted wanted;
-  options.add_options()("binary", "the saddlewing program", cxxopts::value(wanted.binary))("brokers", "hollow brokers", cxxopts::value(wanted.brokers)->default_value("100"))(
-      "backends", "stand-in backends", cxxopts::value(wanted.backends)->default_value("200"))("services", "services", cxxopts::value(wanted.services)->default_value("100"))(
-      "routes", "routes of the configuration", cxxopts::value(wanted.routes)->default_value("50"))("edge-cells", "cells a broker counts", cxxopts::value(wanted.edge_cells)->default_value("0"))(
-      "changes", "configuration changes a second", cxxopts::value(wanted.changes_per_s)->default_value("0"))(
-      "replacements", "backends replaced a second", cxxopts::value(wanted.replacements_per_s)->default_value("0"))(
-      "seconds", "how long it measures", cxxopts::value(wanted.seconds)->default_value("6"))("port", "first of ten ports on 127.0.0.1", cxxopts::value(wanted.first_port)->default_value("21000"))("h,help", "print this help");
+  options.add_options()("binary", "the saddlewing program", cxxopts::value(wanted.binary))(
+      "brokers", "hollow brokers", cxxopts::value(wanted.brokers)->default_value("100"))(
+      "backends", "stand-in backends", cxxopts::value(wanted.backends)->default_value("200"))(
+      "services", "services", cxxopts::value(wanted.services)->default_value("100"))(
+      "routes", "routes of the configuration", cxxopts::value(wanted.routes)->default_value("50"))(
+      "edge-cells", "cells a broker counts", cxxopts::value(wanted.edge_cells)->default_value("0"))(
+      "changes", "configuration changes a second",
+      cxxopts::value(wanted.changes_per_s)->default_value("0"))(
+      "replacements", "backends replaced a second",
+      cxxopts::value(wanted.replacements_per_s)->default_value("0"))(
+      "seconds", "how long it measures", cxxopts::value(wanted.seconds)->default_value("6"))(
+      "port", "first of ten ports on 127.0.0.1",
+      cxxopts::value(wanted.first_port)->default_value("21000"))("h,help", "print this help");
   try {
     if (options.parse(count, words).count("help")) {
       std::cout << options.help();
@@ -404,13 +486,16 @@
     std::cerr << "capacity: " << thrown.what() << "\n";
     return 2;
   }
-  if (wanted.binary.empty() || wanted.brokers < 1 || wanted.backends < 1 || wanted.services < 1 || wanted.routes < 1 || wanted.seconds < 1 || wanted.edge_cells < 0) {
+  if (wanted.binary.empty() || wanted.brokers < 1 || wanted.backends < 1 || wanted.services < 1 ||
+      wanted.routes < 1 || wanted.seconds < 1 || wanted.edge_cells < 0) {
     std::cerr << "capacity: a binary is needed, and sizes of at least one\n";
     return 2;
   }
-  const double machine_mb = static_cast<double>(sysconf(_SC_PHYS_PAGES)) * static_cast<double>(sysconf(_SC_PAGESIZE)) / (1 << 20);
+  const double machine_mb = static_cast<double>(sysconf(_SC_PHYS_PAGES)) *
+                            static_cast<double>(sysconf(_SC_PAGESIZE)) / (1 << 20);
   if (estimate_mb(wanted) > machine_mb / 2) {
-    std::cerr << "capacity: refused: it would need some " << static_cast<long>(estimate_mb(wanted)) << " MB, over half of this machine's " << static_cast<long>(machine_mb) << "\n";
+    std::cerr << "capacity: refused: it would need some " << static_cast<long>(estimate_mb(wanted))
+              << " MB, over half of this machine's " << static_cast<long>(machine_mb) << "\n";
     return 3;
   }
   const Json::Value result = run(wanted);
--- a/tools/model_checks.h
+++ b/tools/model_checks.h
@@ -10,15 +10,22 @@
 
 namespace saddlewing::model {
 
-// The history of the operators' calls on the configuration, which is a register whose highest version prevails.
+// The history of the operators' calls on the configuration, which is a register whose highest
+// version prevails.
 class History {
  public:
   std::size_t start(bool is_read, std::int64_t version);  // a write's body is its own number
   void finish_write(std::size_t call);
   void finish_read(std::size_t call, std::int64_t version, const std::string& body);
-  bool is_finished(std::size_t call) const { return calls_[call].returned != 0; }
-  std::size_t size() const { return calls_.size(); }
-  std::int64_t version_of(std::size_t call) const { return calls_[call].version; }
+  bool is_finished(std::size_t call) const {
+    return calls_[call].returned != 0;
+  }
+  std::size_t size() const {
+    return calls_.size();
+  }
+  std::int64_t version_of(std::size_t call) const {
+    return calls_[call].version;
+  }
   std::uint64_t digest() const;
   // Empty: linearizable. Exact: see docs/model.md.
   std::string check() const;
@@ -39,14 +46,22 @@
  public:
   void lead(Term term, MemberId id, std::uint64_t life);
   void commit(const Entry& entry);
-  void force(Version version);            // somebody serves by it, or says it is in force
+  void force(Version version);  // somebody serves by it, or says it is in force
   void acknowledge(Version version);
-  const std::optional<Violation>& found() const { return found_; }
+  const std::optional<Violation>& found() const {
+    return found_;
+  }
   void fail(const char* check, std::string text);
   std::uint64_t digest() const;
-  std::uint64_t terms() const { return leaders_.size(); }
-  std::uint64_t commits() const { return entries_.size(); }
-  Version highest() const { return highest_; }
+  std::uint64_t terms() const {
+    return leaders_.size();
+  }
+  std::uint64_t commits() const {
+    return entries_.size();
+  }
+  Version highest() const {
+    return highest_;
+  }
 
  private:
   struct Committed {
@@ -64,14 +79,16 @@
 };
 
 // Any majority of each of the older lists shares a member with any majority of each of the newer.
-bool do_majorities_meet(const std::vector<std::vector<Member>>& older, const std::vector<std::vector<Member>>& newer);
+bool do_majorities_meet(const std::vector<std::vector<Member>>& older,
+                        const std::vector<std::vector<Member>>& newer);
 
 // The members before a joint entry, where entries know such.
 template <class E>
 std::vector<std::vector<Member>> lists_of(const E& entry) {
   std::vector<std::vector<Member>> lists{entry.members};
   if constexpr (requires { entry.former; })
-    if (!entry.former.empty()) lists.push_back(entry.former);
+    if (!entry.former.empty())
+      lists.push_back(entry.former);
   return lists;
 }
 
@@ -80,7 +97,8 @@
 void obey_lower_term(M& message, Term term) {
   message.term = message.entry_term = term;
   if constexpr (requires { message.piece; }) {
-    if (message.piece) message.piece->term = term;
+    if (message.piece)
+      message.piece->term = term;
   } else if (message.entry) {
     auto entry = std::make_shared<Entry>(*message.entry);
     entry->term = term;
--- a/tools/model_explore.cpp
+++ b/tools/model_explore.cpp
@@ -18,8 +18,12 @@
 
 namespace {
 
-std::uint64_t mix(std::uint64_t digest, std::uint64_t value) { return XXH3_64bits_withSeed(&value, sizeof value, digest); }
-std::uint64_t mix(std::uint64_t digest, const std::string& text) { return XXH3_64bits_withSeed(text.data(), text.size(), digest); }
+std::uint64_t mix(std::uint64_t digest, std::uint64_t value) {
+  return XXH3_64bits_withSeed(&value, sizeof value, digest);
+}
+std::uint64_t mix(std::uint64_t digest, const std::string& text) {
+  return XXH3_64bits_withSeed(text.data(), text.size(), digest);
+}
 
 struct Node {
   std::unique_ptr<Agreement> agreement;
@@ -31,8 +35,15 @@
 
   Node() = default;
   Node(const Node& other)
-      : agreement(std::make_unique<Agreement>(*other.agreement)), disk(other.disk), disk_before(other.disk_before), pending(other.pending), now(other.now), life(other.life), digest(other.digest),
-        noted(other.noted) {}
+      : agreement(std::make_unique<Agreement>(*other.agreement)),
+        disk(other.disk),
+        disk_before(other.disk_before),
+        pending(other.pending),
+        now(other.now),
+        life(other.life),
+        digest(other.digest),
+        noted(other.noted) {
+  }
 };
 
 struct Letter {
@@ -51,22 +62,27 @@
 
 constexpr std::uint64_t sampled = 16;  // one merged state in so many is looked at again
 
-constexpr Span far{2200}, near{151};  // of a clock that runs on; the longest wait is 2,100 ms, after a transfer of the lead
+constexpr Span far{2200}, near{151};  // of a clock that runs on; the longest wait is 2,100 ms,
+                                      // after a transfer of the lead
 
 struct Seen {
-  std::size_t operator()(std::uint64_t digest) const { return digest; }
+  std::size_t operator()(std::uint64_t digest) const {
+    return digest;
+  }
 };
 
 class Explorer {
  public:
-  explicit Explorer(const Bounds& bounds) : bounds_(bounds) {}
+  explicit Explorer(const Bounds& bounds) : bounds_(bounds) {
+  }
 
   Explored run() {
     State state;
     auto entry = std::make_shared<Entry>();
     for (int number = 0; number < bounds_.members; ++number) {
       addresses_.push_back("10.0.0." + std::to_string(number + 1) + ":7");
-      entry->members.push_back({MemberId{static_cast<std::uint64_t>(number) + 1}, addresses_.back()});
+      entry->members.push_back(
+          {MemberId{static_cast<std::uint64_t>(number) + 1}, addresses_.back()});
     }
     for (std::size_t number = 0; number < addresses_.size(); ++number) {
       Node node;
@@ -74,7 +90,8 @@
       state.nodes.push_back(nullptr);
       start(state, number, node);
       // Founded: the first save is over, and the first look at the clock too.
-      while (node.pending) end_save(state, number, node);
+      while (node.pending)
+        end_save(state, number, node);
       state.nodes[number] = std::make_shared<Node>(node);
     }
     explored_.is_whole = visit(state);
@@ -93,9 +110,11 @@
       return false;
     }
     const std::uint64_t digest = digest_of(state);
-    if (!seen_.insert(digest).second) return compare(state, digest);
+    if (!seen_.insert(digest).second)
+      return compare(state, digest);
     explored_.depth = std::max(explored_.depth, path_.size());
-    if (seen_.size() >= bounds_.most_states) return false;
+    if (seen_.size() >= bounds_.most_states)
+      return false;
     std::uint64_t followers = 0;
     const auto follow = [&](std::string text, const Change& change) {
       ++explored_.moves;
@@ -107,15 +126,19 @@
       path_.pop_back();
       return is_whole;
     };
-    if (!visit_moves(state, follow)) return false;
-    if (digest % sampled == 0) followers_[digest] = followers;
+    if (!visit_moves(state, follow))
+      return false;
+    if (digest % sampled == 0)
+      followers_[digest] = followers;
     return true;
   }
 
-  // States that look the same must go on the same: else the digest leaves something out. Done for a sample.
+  // States that look the same must go on the same: else the digest leaves something out. Done for a
+  // sample.
   bool compare(const State& state, std::uint64_t digest) {
     const auto found = followers_.find(digest);
-    if (found == followers_.end()) return true;
+    if (found == followers_.end())
+      return true;
     std::uint64_t followers = 0;
     visit_moves(state, [&](const std::string&, const Change& change) {
       State next = state;
@@ -124,8 +147,11 @@
       return true;
     });
     ++explored_.compared;
-    if (followers == found->second) return true;
-    explored_.found = Violation{"states told apart", "two states of one digest go on differently: model_probe.h leaves out something", 0};
+    if (followers == found->second)
+      return true;
+    explored_.found = Violation{
+        "states told apart",
+        "two states of one digest go on differently: model_probe.h leaves out something", 0};
     explored_.path = path_;
     return false;
   }
@@ -133,21 +159,29 @@
   template <class F>
   bool visit_moves(const State& state, const F& follow) {
     for (std::size_t number = 0; number < state.nodes.size(); ++number)
-      if (!visit_node(state, number, follow)) return false;
+      if (!visit_node(state, number, follow))
+        return false;
     std::unordered_set<std::uint64_t> tried;
     std::set<std::pair<std::size_t, std::size_t>> links;
     for (std::size_t place = 0; place < state.letters.size(); ++place) {
       const Letter& letter = state.letters[place];
       const bool is_first = links.emplace(letter.from, letter.to).second;
-      if (!is_first && (state.overtakings >= bounds_.overtakings || !tried.insert(mix(letter.digest, letter.to)).second)) continue;
-      if (is_first) tried.insert(mix(letter.digest, letter.to));
+      if (!is_first && (state.overtakings >= bounds_.overtakings ||
+                        !tried.insert(mix(letter.digest, letter.to)).second))
+        continue;
+      if (is_first)
+        tried.insert(mix(letter.digest, letter.to));
       const RaftMessage& message = *letter.message;
-      const std::string text = "message " + std::to_string(static_cast<int>(message.type)) + " of " + std::to_string(message.from.value) + " in term " + std::to_string(message.term.value) + " reaches " +
-                               std::to_string(letter.to + 1) + (message.is_granted ? ", granted" : "");
+      const std::string text =
+          "message " + std::to_string(static_cast<int>(message.type)) + " of " +
+          std::to_string(message.from.value) + " in term " + std::to_string(message.term.value) +
+          " reaches " + std::to_string(letter.to + 1) + (message.is_granted ? ", granted" : "");
       const auto deliver = [&](State& next) {
         Node node = *next.nodes[letter.to];
         RaftMessage copy = message;
-        if (bounds_.planted == Planted::lower_term_obeyed && copy.type == RaftMessage::Type::append && copy.term < node.agreement->term()) obey_lower_term(copy, node.agreement->term());
+        if (bounds_.planted == Planted::lower_term_obeyed &&
+            copy.type == RaftMessage::Type::append && copy.term < node.agreement->term())
+          obey_lower_term(copy, node.agreement->term());
         node.agreement->receive(copy, node.now);
         settle(next, letter.to, node);
       };
@@ -157,12 +191,18 @@
             deliver(next);
           }))
         return false;
-      if (is_first && state.breaks < bounds_.breaks && !follow("the link from " + std::to_string(letter.from + 1) + " to " + std::to_string(letter.to + 1) + " breaks", [&](State& next) {
-            ++next.breaks;
-            std::erase_if(next.letters, [&](const Letter& other) { return other.from == letter.from && other.to == letter.to; });
-          }))
+      if (is_first && state.breaks < bounds_.breaks &&
+          !follow("the link from " + std::to_string(letter.from + 1) + " to " +
+                      std::to_string(letter.to + 1) + " breaks",
+                  [&](State& next) {
+                    ++next.breaks;
+                    std::erase_if(next.letters, [&](const Letter& other) {
+                      return other.from == letter.from && other.to == letter.to;
+                    });
+                  }))
         return false;
-      if (state.doublings < bounds_.doublings && !follow(text + ", and comes again", [&](State& next) {
+      if (state.doublings < bounds_.doublings &&
+          !follow(text + ", and comes again", [&](State& next) {
             ++next.doublings;
             deliver(next);
           }))
@@ -180,27 +220,35 @@
           end_save(next, number, node);
         }))
       return false;
-    // Far: whatever was drawn is over, and a leader that heard nobody steps down. Near, for a leader: its beat.
+    // Far: whatever was drawn is over, and a leader that heard nobody steps down. Near, for a
+    // leader: its beat.
     for (const Span span : {far, near}) {
-      if (state.timeouts >= bounds_.timeouts || (span == near && !present.agreement->is_leader())) continue;
-      if (!follow("clock of " + name + (span == far ? " runs on far" : " runs on to its beat"), [&](State& next) {
-            ++next.timeouts;
-            Node node = *next.nodes[number];
-            node.now += span;
-            settle(next, number, node);
-          }))
+      if (state.timeouts >= bounds_.timeouts || (span == near && !present.agreement->is_leader()))
+        continue;
+      if (!follow("clock of " + name + (span == far ? " runs on far" : " runs on to its beat"),
+                  [&](State& next) {
+                    ++next.timeouts;
+                    Node node = *next.nodes[number];
+                    node.now += span;
+                    settle(next, number, node);
+                  }))
         return false;
     }
-    for (int is_kept = 0; state.crashes < bounds_.crashes && is_kept < (present.pending ? 2 : 1); ++is_kept)
-      if (!follow(name + " crashes and starts" + (is_kept ? ", its last save was kept" : ""), [&](State& next) {
-            ++next.crashes;
-            Node node = *next.nodes[number];
-            if (is_kept) node.disk = node.pending->durable;
-            else if (bounds_.planted == Planted::folder_sync_left_out) node.disk = node.disk_before;
-            start(next, number, node);
-          }))
+    for (int is_kept = 0; state.crashes < bounds_.crashes && is_kept < (present.pending ? 2 : 1);
+         ++is_kept)
+      if (!follow(name + " crashes and starts" + (is_kept ? ", its last save was kept" : ""),
+                  [&](State& next) {
+                    ++next.crashes;
+                    Node node = *next.nodes[number];
+                    if (is_kept)
+                      node.disk = node.pending->durable;
+                    else if (bounds_.planted == Planted::folder_sync_left_out)
+                      node.disk = node.disk_before;
+                    start(next, number, node);
+                  }))
         return false;
-    if (!present.agreement->is_leader()) return true;
+    if (!present.agreement->is_leader())
+      return true;
     if (state.orders < bounds_.orders && !follow(name + " is given an order", [&](State& next) {
           const std::int64_t version = ++next.orders;
           Node node = *next.nodes[number];
@@ -229,8 +277,10 @@
     node.pending.reset();
     node.noted = nullptr;
     if (node.life > 1) {
-      if (bounds_.planted == Planted::vote_forgotten) node.disk.vote = {};
-      if (bounds_.planted == Planted::wiped_under_old_id) node.disk = {node.disk.self, {}, {}, std::make_shared<Entry>()};
+      if (bounds_.planted == Planted::vote_forgotten)
+        node.disk.vote = {};
+      if (bounds_.planted == Planted::wiped_under_old_id)
+        node.disk = {node.disk.self, {}, {}, std::make_shared<Entry>()};
       if (bounds_.planted == Planted::snapshot_without_term && node.disk.entry->index.value) {
         auto entry = std::make_shared<Entry>(*node.disk.entry);
         entry->term = {};
@@ -250,7 +300,8 @@
     node.disk_before = node.disk;
     node.disk = node.pending->durable;
     node.pending.reset();
-    if (bounds_.planted != Planted::answer_before_sync) node.agreement->finish_save(serial, true, node.now);
+    if (bounds_.planted != Planted::answer_before_sync)
+      node.agreement->finish_save(serial, true, node.now);
     settle(state, number, node);
   }
 
@@ -261,20 +312,27 @@
       is_early = false;
       Agreement::Output output = node.agreement->take(node.now);
       const EntrySnapshot& committed = node.agreement->committed();
-      if (node.agreement->is_leader()) state.ledger.lead(node.agreement->term(), node.agreement->self(), node.life);
+      if (node.agreement->is_leader())
+        state.ledger.lead(node.agreement->term(), node.agreement->self(), node.life);
       if (committed && committed != node.noted) {
-        if (node.noted && std::pair(committed->term, committed->index) < std::pair(node.noted->term, node.noted->index)) state.ledger.fail("no node goes back", "node " + std::to_string(number + 1));
+        if (node.noted && std::pair(committed->term, committed->index) <
+                              std::pair(node.noted->term, node.noted->index))
+          state.ledger.fail("no node goes back", "node " + std::to_string(number + 1));
         state.ledger.commit(*committed);
         node.noted = committed;
       }
       for (Agreement::Outgoing& outgoing : output.messages) {
         const auto to = std::find(addresses_.begin(), addresses_.end(), outgoing.to);
-        if (to == addresses_.end()) continue;
-        const std::uint64_t digest = mix(0, encode(FrameHead{FrameKind::raft, {}, {}}, outgoing.message));
-        state.letters.push_back({number, static_cast<std::size_t>(to - addresses_.begin()), digest, std::make_shared<RaftMessage>(std::move(outgoing.message))});
+        if (to == addresses_.end())
+          continue;
+        const std::uint64_t digest =
+            mix(0, encode(FrameHead{FrameKind::raft, {}, {}}, outgoing.message));
+        state.letters.push_back({number, static_cast<std::size_t>(to - addresses_.begin()), digest,
+                                 std::make_shared<RaftMessage>(std::move(outgoing.message))});
       }
       for (const Agreement::Result& result : output.results) {
-        if (result.verdict != Agreement::Verdict::done) continue;
+        if (result.verdict != Agreement::Verdict::done)
+          continue;
         const std::size_t call = result.token - 1;
         if (result.state) {
           state.history.finish_read(call, result.state->version.value, result.state->body);
@@ -284,40 +342,50 @@
         }
         check(state);
       }
-      if (!output.save) continue;
+      if (!output.save)
+        continue;
       node.pending = std::move(output.save);
-      if (bounds_.planted != Planted::answer_before_sync) continue;
+      if (bounds_.planted != Planted::answer_before_sync)
+        continue;
       node.agreement->finish_save(node.pending->serial, true, node.now);
       is_early = true;
     }
     node.digest = mix(AgreementProbe::look(*node.agreement, node.now), node.life);
     node.digest = mix(node.digest, encode_durable(node.disk));
-    if (bounds_.planted != Planted::none) node.digest = mix(node.digest, encode_durable(node.disk_before));
+    if (bounds_.planted != Planted::none)
+      node.digest = mix(node.digest, encode_durable(node.disk_before));
     node.digest = mix(node.digest, node.pending ? node.pending->serial + 1 : 0);
     state.nodes[number] = std::make_shared<Node>(node);
   }
 
   void check(State& state) {
-    if (const std::string text = state.history.check(); !text.empty()) state.ledger.fail("linearizable", text);
+    if (const std::string text = state.history.check(); !text.empty())
+      state.ledger.fail("linearizable", text);
   }
 
   std::uint64_t digest_of(const State& state) const {
     std::uint64_t digest = mix(state.ledger.digest(), state.history.digest());
-    for (const auto& node : state.nodes) digest = mix(digest, node->digest);
-    std::vector<std::uint64_t> links(state.nodes.size() * state.nodes.size());  // between links there is no order
+    for (const auto& node : state.nodes)
+      digest = mix(digest, node->digest);
+    std::vector<std::uint64_t> links(state.nodes.size() *
+                                     state.nodes.size());  // between links there is no order
     for (const Letter& letter : state.letters) {
       std::uint64_t& link = links[letter.from * state.nodes.size() + letter.to];
       link = mix(link, letter.digest);
     }
-    for (const std::uint64_t link : links) digest = mix(digest, link);
-    for (const int count : {state.timeouts, state.crashes, state.doublings, state.overtakings, state.breaks, state.orders, state.reads}) digest = mix(digest, static_cast<std::uint64_t>(count));
+    for (const std::uint64_t link : links)
+      digest = mix(digest, link);
+    for (const int count : {state.timeouts, state.crashes, state.doublings, state.overtakings,
+                            state.breaks, state.orders, state.reads})
+      digest = mix(digest, static_cast<std::uint64_t>(count));
     return digest;
   }
 
   Bounds bounds_;
   std::vector<std::string> addresses_;
   std::unordered_set<std::uint64_t, Seen> seen_;
-  std::unordered_map<std::uint64_t, std::uint64_t> followers_;  // of the sample: what its next states add up to
+  std::unordered_map<std::uint64_t, std::uint64_t>
+      followers_;  // of the sample: what its next states add up to
   std::vector<std::string> path_;
   Explored explored_;
 };
@@ -332,11 +400,15 @@
     case Planted::lower_term_obeyed:
     case Planted::snapshot_without_term:
     case Planted::folder_sync_left_out:
-    case Planted::wiped_under_old_id: return true;
-    default: return false;
+    case Planted::wiped_under_old_id:
+      return true;
+    default:
+      return false;
   }
 }
 
-Explored explore(const Bounds& bounds) { return Explorer(bounds).run(); }
+Explored explore(const Bounds& bounds) {
+  return Explorer(bounds).run();
+}
 
 }  // namespace saddlewing::model
--- a/tools/model_explore.h
+++ b/tools/model_explore.h
@@ -1,6 +1,7 @@
 #pragma once
-// Every order of events of a small core within bounds: each link brings its messages in order and as late as can be, some
-// overtake others or are lost, saves end late or never, each clock runs on by itself. Invariants are looked at in every state.
+// Every order of events of a small core within bounds: each link brings its messages in order and
+// as late as can be, some overtake others or are lost, saves end late or never, each clock runs on
+// by itself. Invariants are looked at in every state.
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -25,7 +26,8 @@
 struct Explored {
   std::uint64_t states = 0, moves = 0;
   std::size_t depth = 0;
-  std::uint64_t compared = 0;  // merged states of the sample, all of whose next states were compared
+  std::uint64_t compared =
+      0;                  // merged states of the sample, all of whose next states were compared
   bool is_whole = false;  // all within the bounds were seen
   std::optional<Violation> found;
   std::vector<std::string> path;  // to it
--- a/tools/model_nodes.cpp
+++ b/tools/model_nodes.cpp
@@ -1,5 +1,5 @@
-// The machines of registries: lives, saves, and how the agreement is driven. What stands around it here (calls passed on to
-// the leader) is the model's own and as thin as the core's loop allows.
+// The machines of registries: lives, saves, and how the agreement is driven. What stands around it
+// here (calls passed on to the leader) is the model's own and as thin as the core's loop allows.
 #include <algorithm>
 
 #include "model_world.h"
@@ -15,17 +15,22 @@
 constexpr Micros most_wait = 100'000, least_wait = 200;
 
 const char* name_of(RaftMessage::Type type) {
-  static constexpr const char* names[] = {"pre-vote", "pre-voted", "vote", "voted", "append", "appended", "transfer", "join", "joined", "leave", "left"};
+  static constexpr const char* names[] = {"pre-vote", "pre-voted", "vote",     "voted",
+                                          "append",   "appended",  "transfer", "join",
+                                          "joined",   "leave",     "left"};
   const auto place = static_cast<std::size_t>(type);
   return place < std::size(names) ? names[place] : "?";
 }
 
-std::string show(Term term, Index index) { return std::to_string(term.value) + "." + std::to_string(index.value); }
+std::string show(Term term, Index index) {
+  return std::to_string(term.value) + "." + std::to_string(index.value);
+}
 
 // Later forms of the agreement know when they may end.
 template <class A>
 bool has_left(const A& agreement) {
-  if constexpr (requires { agreement.has_left(); }) return agreement.has_left();
+  if constexpr (requires { agreement.has_left(); })
+    return agreement.has_left();
   return false;
 }
 
@@ -42,7 +47,8 @@
 std::vector<std::string> World::contacts() const {
   std::vector<std::string> addresses;
   for (const auto& [number, node] : nodes_)
-    if (!node->is_gone) addresses.push_back(node->address);
+    if (!node->is_gone)
+      addresses.push_back(node->address);
   return addresses;
 }
 
@@ -52,15 +58,20 @@
   node.is_frozen = false;
   node.held.clear();
   node.life = ++lives_;
-  const int drift = setup.drift ? static_cast<int>(draw(2) % static_cast<std::uint64_t>(2 * setup.drift + 1)) - setup.drift : 0;
+  const int drift =
+      setup.drift ? static_cast<int>(draw(2) % static_cast<std::uint64_t>(2 * setup.drift + 1)) -
+                        setup.drift
+                  : 0;
   node.rate = 1 + drift * 1e-4;
-  node.offset = static_cast<Micros>(draw(3) % 1'000'000'000);  // a steady clock of its own each life
+  node.offset =
+      static_cast<Micros>(draw(3) % 1'000'000'000);  // a steady clock of its own each life
   if (!node.has_disk) {
     const bool is_old = setup.planted == Planted::wiped_under_old_id && node.disk.self.value;
     node.disk = {is_old ? node.disk.self : MemberId{++ids_}, {}, {}, std::make_shared<Entry>()};
     node.has_disk = true;
   } else {
-    if (setup.planted == Planted::vote_forgotten) node.disk.vote = {};
+    if (setup.planted == Planted::vote_forgotten)
+      node.disk.vote = {};
     if (setup.planted == Planted::snapshot_without_term && node.disk.entry->index.value) {
       auto entry = std::make_shared<Entry>(*node.disk.entry);
       entry->term = {};
@@ -78,7 +89,10 @@
   node.agreement = std::make_unique<Agreement>(node.disk, options, contacts(), now);
   node.rollout = std::make_unique<Rollout>(rollout_wait);
   node.grants = std::make_unique<Grants>(reserve, grant_valid, grant_window);
-  node.holders = std::make_unique<Holders>(table_hold, setup.planted == Planted::lease_without_settling ? Span(0) : table_hold + election + settle_margin);
+  node.holders =
+      std::make_unique<Holders>(table_hold, setup.planted == Planted::lease_without_settling
+                                                ? Span(0)
+                                                : table_hold + election + settle_margin);
   node.pending.reset();
   node.wake_at = -1;
   node.calls.clear();
@@ -87,22 +101,29 @@
   node.rows.clear();
   node.is_holding = node.is_marking = false;
   node.mark = 0;
-  say("registry " + std::to_string(node.number) + " starts as member " + std::to_string(node.disk.self.value) + ", holds " + show(node.disk.entry->term, node.disk.entry->index) +
-      " in term " + std::to_string(node.disk.term.value));
+  say("registry " + std::to_string(node.number) + " starts as member " +
+      std::to_string(node.disk.self.value) + ", holds " +
+      show(node.disk.entry->term, node.disk.entry->index) + " in term " +
+      std::to_string(node.disk.term.value));
   push(now_ + least_wait, Event::Kind::wake, 0, node.number, node.life, {});
   node.wake_at = now_ + least_wait;
 }
 
 void World::stop_node(Node& node, bool is_power) {
-  if (!node.is_up) return;
+  if (!node.is_up)
+    return;
   // What was on its way to the disk got there or not.
-  if (node.pending && node.mode != DiskMode::failing && draw(5) % 2) node.disk = node.pending->durable;
-  else if (is_power && node.has_before && draw(6) % 2) node.disk = node.disk_before;
+  if (node.pending && node.mode != DiskMode::failing && draw(5) % 2)
+    node.disk = node.pending->durable;
+  else if (is_power && node.has_before && draw(6) % 2)
+    node.disk = node.disk_before;
   node.is_up = node.is_frozen = false;
   node.held.clear();
   node.pending.reset();
   node.agreement.reset();
-  say("registry " + std::to_string(node.number) + " is down, its disk holds " + show(node.disk.entry->term, node.disk.entry->index) + " in term " + std::to_string(node.disk.term.value));
+  say("registry " + std::to_string(node.number) + " is down, its disk holds " +
+      show(node.disk.entry->term, node.disk.entry->index) + " in term " +
+      std::to_string(node.disk.term.value));
 }
 
 void World::wipe_node(Node& node) {
@@ -115,21 +136,33 @@
   plant_in_entry(node, save.durable);
   node.pending = std::move(save);
   Micros span = 1'000 + static_cast<Micros>(draw(7) % 10'000);
-  if (node.mode == DiskMode::slow) span += 150'000 + static_cast<Micros>(draw(8) % 400'000);
-  if (walk_.setup.planted == Planted::answer_before_sync) span += 300'000;
+  if (node.mode == DiskMode::slow)
+    span += 150'000 + static_cast<Micros>(draw(8) % 400'000);
+  if (walk_.setup.planted == Planted::answer_before_sync)
+    span += 300'000;
   if (node.mode != DiskMode::stalled || walk_.setup.planted == Planted::answer_before_sync)
-    push(now_ + span, Event::Kind::save, 0, node.number, node.life, FinishedSave{serial, node.mode != DiskMode::failing});
-  if (walk_.setup.planted == Planted::answer_before_sync) node.agreement->finish_save(serial, true, local(node));
+    push(now_ + span, Event::Kind::save, 0, node.number, node.life,
+         FinishedSave{serial, node.mode != DiskMode::failing});
+  if (walk_.setup.planted == Planted::answer_before_sync)
+    node.agreement->finish_save(serial, true, local(node));
 }
 
 void World::end_save(Node& node, std::uint64_t serial) {
-  if (!node.pending || node.pending->serial != serial || (node.mode == DiskMode::stalled && walk_.setup.planted != Planted::answer_before_sync)) return;
+  if (!node.pending || node.pending->serial != serial ||
+      (node.mode == DiskMode::stalled && walk_.setup.planted != Planted::answer_before_sync))
+    return;
   const bool is_saved = node.mode != DiskMode::failing;
   if (is_saved) {
     const Durable& next = node.pending->durable;
-    const auto key = [](const Durable& durable) { return std::pair(durable.entry->term, durable.entry->index); };
-    if (next.self != node.disk.self || next.term < node.disk.term || key(next) < key(node.disk)) fail("no node goes back", "registry " + std::to_string(node.number) + " saved what is older than what it held");
-    if (next.term == node.disk.term && node.disk.vote.value && next.vote != node.disk.vote) fail("no node goes back", "registry " + std::to_string(node.number) + " changed its vote within a term");
+    const auto key = [](const Durable& durable) {
+      return std::pair(durable.entry->term, durable.entry->index);
+    };
+    if (next.self != node.disk.self || next.term < node.disk.term || key(next) < key(node.disk))
+      fail("no node goes back",
+           "registry " + std::to_string(node.number) + " saved what is older than what it held");
+    if (next.term == node.disk.term && node.disk.vote.value && next.vote != node.disk.vote)
+      fail("no node goes back",
+           "registry " + std::to_string(node.number) + " changed its vote within a term");
     if (walk_.setup.planted == Planted::folder_sync_left_out) {
       node.disk_before = node.disk;
       node.has_before = true;
@@ -137,9 +170,11 @@
     node.disk = node.pending->durable;
   }
   node.pending.reset();
-  if (walk_.setup.planted == Planted::answer_before_sync) return;
+  if (walk_.setup.planted == Planted::answer_before_sync)
+    return;
   if (node.is_frozen) {
-    node.held.push_back({now_, ++order_, Event::Kind::deliver, 0, node.number, node.life, FinishedSave{serial, is_saved}});
+    node.held.push_back({now_, ++order_, Event::Kind::deliver, 0, node.number, node.life,
+                         FinishedSave{serial, is_saved}});
     return;
   }
   node.agreement->finish_save(serial, is_saved, local(node));
@@ -148,10 +183,16 @@
 
 // A replacement in one step: the old list no longer counts.
 void World::plant_in_entry(Node& node, const Durable& durable) {
-  if (walk_.setup.planted != Planted::replacement_in_one_step || !node.agreement->is_leader()) return;
+  if (walk_.setup.planted != Planted::replacement_in_one_step || !node.agreement->is_leader())
+    return;
   [&](auto& entry) {
-    if constexpr (requires { entry.former; }) entry.former.clear();
-    else if (entry.members.size() > entry.core_size) std::erase_if(entry.members, [&](const Member& member) { return member.id != durable.self && &member == &entry.members[entry.members[0].id == durable.self]; });
+    if constexpr (requires { entry.former; })
+      entry.former.clear();
+    else if (entry.members.size() > entry.core_size)
+      std::erase_if(entry.members, [&](const Member& member) {
+        return member.id != durable.self &&
+               &member == &entry.members[entry.members[0].id == durable.self];
+      });
   }(const_cast<Entry&>(*durable.entry));
 }
 
@@ -166,9 +207,12 @@
                     walk_.setup.planted == Planted::grant_twice ? now - 100s : now);
   tend_rollout(node);
   flush(node);
-  if (has_left(*node.agreement)) return stop_node(node, false);
-  const Micros due = std::clamp(global(node, node.agreement->next_due()) + 2, now_ + least_wait, now_ + most_wait);
-  if (node.wake_at >= 0 && node.wake_at <= due) return;
+  if (has_left(*node.agreement))
+    return stop_node(node, false);
+  const Micros due =
+      std::clamp(global(node, node.agreement->next_due()) + 2, now_ + least_wait, now_ + most_wait);
+  if (node.wake_at >= 0 && node.wake_at <= due)
+    return;
   node.wake_at = due;
   push(due, Event::Kind::wake, 0, node.number, node.life, {});
 }
@@ -176,69 +220,109 @@
 void World::flush(Node& node) {
   observe(node);  // what is answered is committed before
   Agreement::Output output = node.agreement->take(local(node));
-  if (output.save) begin_save(node, std::move(*output.save));
+  if (output.save)
+    begin_save(node, std::move(*output.save));
   for (Agreement::Outgoing& outgoing : output.messages) {
     if (trace_)
-      say("registry " + std::to_string(node.number) + " sends " + name_of(outgoing.message.type) + " to " + outgoing.to + ", term " + std::to_string(outgoing.message.term.value) + ", holds " +
-          show(outgoing.message.entry_term, outgoing.message.entry_index) + (outgoing.message.is_granted ? ", granted" : ""));
-    if (const auto number = numbers_.find(outgoing.to); number != numbers_.end()) send(node.number, number->second, std::move(outgoing.message));
+      say("registry " + std::to_string(node.number) + " sends " + name_of(outgoing.message.type) +
+          " to " + outgoing.to + ", term " + std::to_string(outgoing.message.term.value) +
+          ", holds " + show(outgoing.message.entry_term, outgoing.message.entry_index) +
+          (outgoing.message.is_granted ? ", granted" : ""));
+    if (const auto number = numbers_.find(outgoing.to); number != numbers_.end())
+      send(node.number, number->second, std::move(outgoing.message));
   }
   for (const Agreement::Result& result : output.results) {
     const auto found = node.calls.find(result.token);
-    if (found == node.calls.end()) continue;
-    if (result.verdict == Agreement::Verdict::done) finish_call(node, result.token, true, result.state ? result.state->version : Version{}, result.state ? result.state->body : "");
-    else found->second.sent_to.clear();
+    if (found == node.calls.end())
+      continue;
+    if (result.verdict == Agreement::Verdict::done)
+      finish_call(node, result.token, true, result.state ? result.state->version : Version{},
+                  result.state ? result.state->body : "");
+    else
+      found->second.sent_to.clear();
   }
 }
 
 void World::observe(Node& node) {
   const Agreement& agreement = *node.agreement;
-  if (agreement.is_leader()) ledger_.lead(agreement.term(), agreement.self(), node.life);
+  if (agreement.is_leader())
+    ledger_.lead(agreement.term(), agreement.self(), node.life);
   const EntrySnapshot& committed = agreement.committed();
-  if (!committed || committed == node.noted) return;
-  if (node.noted && std::tuple(committed->term, committed->index) < std::tuple(node.noted->term, node.noted->index))
-    fail("no node goes back", "registry " + std::to_string(node.number) + " holds " + show(committed->term, committed->index) + " committed after " + show(node.noted->term, node.noted->index));
-  if (node.noted && committed->version < node.noted->version) fail("no node goes back", "registry " + std::to_string(node.number) + " went back to version " + std::to_string(committed->version.value));
+  if (!committed || committed == node.noted)
+    return;
+  if (node.noted && std::tuple(committed->term, committed->index) <
+                        std::tuple(node.noted->term, node.noted->index))
+    fail("no node goes back", "registry " + std::to_string(node.number) + " holds " +
+                                  show(committed->term, committed->index) + " committed after " +
+                                  show(node.noted->term, node.noted->index));
+  if (node.noted && committed->version < node.noted->version)
+    fail("no node goes back", "registry " + std::to_string(node.number) + " went back to version " +
+                                  std::to_string(committed->version.value));
   ledger_.commit(*committed);
   if (trace_)
-    say("registry " + std::to_string(node.number) + (agreement.is_leader() ? " (leads) " : " ") + "holds " + show(committed->term, committed->index) + " committed, version " + std::to_string(committed->version.value) + ", " +
+    say("registry " + std::to_string(node.number) + (agreement.is_leader() ? " (leads) " : " ") +
+        "holds " + show(committed->term, committed->index) + " committed, version " +
+        std::to_string(committed->version.value) + ", " +
         std::to_string(committed->members.size()) + " members");
   node.noted = committed;
-  if (committed->version.value) node.rollout->commit(committed->version, local(node));
+  if (committed->version.value)
+    node.rollout->commit(committed->version, local(node));
 }
 
 void World::take(Node& node, int from, Content& content) {
-  if (RaftMessage* message = std::get_if<RaftMessage>(&content)) return receive(node, from, *message);
-  if (const FollowPacket* follow = std::get_if<FollowPacket>(&content)) return take_follow(node, *follow);
-  if (const FinishedSave* save = std::get_if<FinishedSave>(&content)) return node.agreement->finish_save(save->serial, save->is_saved, local(node));
+  if (RaftMessage* message = std::get_if<RaftMessage>(&content))
+    return receive(node, from, *message);
+  if (const FollowPacket* follow = std::get_if<FollowPacket>(&content))
+    return take_follow(node, *follow);
+  if (const FinishedSave* save = std::get_if<FinishedSave>(&content))
+    return node.agreement->finish_save(save->serial, save->is_saved, local(node));
   if (const CallPacket* packet = std::get_if<CallPacket>(&content)) {
-    node.calls[++node.last_token] = {0, packet->is_read, packet->version, packet->body, packet->origin, packet->life, packet->token, {}, local(node) + call_wait};
+    node.calls[++node.last_token] = {0,
+                                     packet->is_read,
+                                     packet->version,
+                                     packet->body,
+                                     packet->origin,
+                                     packet->life,
+                                     packet->token,
+                                     {},
+                                     local(node) + call_wait};
   } else if (const AnswerPacket* answer = std::get_if<AnswerPacket>(&content)) {
-    if (answer->life != node.life && walk_.setup.planted != Planted::answer_of_old_life) return;
+    if (answer->life != node.life && walk_.setup.planted != Planted::answer_of_old_life)
+      return;
     const auto found = node.calls.find(answer->token);
-    if (found == node.calls.end() || found->second.origin) return;
-    if (answer->is_done) finish_call(node, answer->token, true, answer->version, answer->body);
-    else found->second.sent_to.clear();
+    if (found == node.calls.end() || found->second.origin)
+      return;
+    if (answer->is_done)
+      finish_call(node, answer->token, true, answer->version, answer->body);
+    else
+      found->second.sent_to.clear();
   }
 }
 
 void World::receive(Node& node, int from, RaftMessage& message) {
   const Planted planted = walk_.setup.planted;
-  if (planted == Planted::lower_term_obeyed && message.type == RaftMessage::Type::append && message.term < node.agreement->term()) obey_lower_term(message, node.agreement->term());
-  if (planted == Planted::learner_counted_early && message.type == RaftMessage::Type::appended && message.from.value > 1000 && node.agreement->is_leader() && node.agreement->committed()) {
+  if (planted == Planted::lower_term_obeyed && message.type == RaftMessage::Type::append &&
+      message.term < node.agreement->term())
+    obey_lower_term(message, node.agreement->term());
+  if (planted == Planted::learner_counted_early && message.type == RaftMessage::Type::appended &&
+      message.from.value > 1000 && node.agreement->is_leader() && node.agreement->committed()) {
     const EntrySnapshot& last = node.pending ? node.pending->durable.entry : node.disk.entry;
     message.is_granted = true;
     message.entry_term = last->term;
     message.entry_index = last->index;
   }
-  if (trace_) say("registry " + std::to_string(node.number) + " takes " + name_of(message.type) + " of " + std::to_string(from) + ", term " + std::to_string(message.term.value));
+  if (trace_)
+    say("registry " + std::to_string(node.number) + " takes " + name_of(message.type) + " of " +
+        std::to_string(from) + ", term " + std::to_string(message.term.value));
   node.agreement->receive(message, local(node));
 }
 
 void World::begin_call(Node& node, bool is_read, std::int64_t version) {
   const std::size_t call = history_.start(is_read, version);
-  if (!node.is_up || node.is_frozen) return;  // its outcome stays unknown
-  node.calls[++node.last_token] = {call, is_read, Version{version}, std::to_string(call), 0, 0, 0, {}, local(node) + call_wait};
+  if (!node.is_up || node.is_frozen)
+    return;  // its outcome stays unknown
+  node.calls[++node.last_token] = {
+      call, is_read, Version{version}, std::to_string(call), 0, 0, 0, {}, local(node) + call_wait};
   turn_node(node);
 }
 
@@ -248,35 +332,55 @@
   const EntrySnapshot& committed = node.agreement->committed();
   const std::string& leader = node.agreement->leader_address();
   for (auto& [token, call] : node.calls) {
-    if (!call.is_read && committed && committed->version >= call.version) settled.push_back(token);
-    else if (now > call.deadline) ended.push_back(token);
-    else if (!call.sent_to.empty() && call.sent_to != leader && !call.is_read && !leader.empty()) call.sent_to.clear();
-    if (!call.sent_to.empty() || now > call.deadline) continue;
+    if (!call.is_read && committed && committed->version >= call.version)
+      settled.push_back(token);
+    else if (now > call.deadline)
+      ended.push_back(token);
+    else if (!call.sent_to.empty() && call.sent_to != leader && !call.is_read && !leader.empty())
+      call.sent_to.clear();
+    if (!call.sent_to.empty() || now > call.deadline)
+      continue;
     if (node.agreement->is_leader()) {
       call.sent_to = node.address;
-      if (call.is_read && walk_.setup.planted == Planted::read_without_majority && committed) settled.push_back(token);
-      else if (call.is_read) node.agreement->confirm_read(token, now);
-      else node.agreement->propose(call.version, call.body, token, now);
+      if (call.is_read && walk_.setup.planted == Planted::read_without_majority && committed)
+        settled.push_back(token);
+      else if (call.is_read)
+        node.agreement->confirm_read(token, now);
+      else
+        node.agreement->propose(call.version, call.body, token, now);
     } else if (!leader.empty() && !call.origin) {
       call.sent_to = leader;
-      if (const auto number = numbers_.find(leader); number != numbers_.end()) send(node.number, number->second, CallPacket{node.number, node.life, token, call.is_read, call.version, call.body});
+      if (const auto number = numbers_.find(leader); number != numbers_.end())
+        send(node.number, number->second,
+             CallPacket{node.number, node.life, token, call.is_read, call.version, call.body});
     } else if (call.origin) {
       ended.push_back(token);
     }
   }
-  for (const std::uint64_t token : settled) finish_call(node, token, true, committed->version, committed->body);
-  for (const std::uint64_t token : ended) finish_call(node, token, false, {}, {});
+  for (const std::uint64_t token : settled)
+    finish_call(node, token, true, committed->version, committed->body);
+  for (const std::uint64_t token : ended)
+    finish_call(node, token, false, {}, {});
 }
 
-void World::finish_call(Node& node, std::uint64_t token, bool is_done, Version version, const std::string& body) {
+void World::finish_call(Node& node, std::uint64_t token, bool is_done, Version version,
+                        const std::string& body) {
   const auto found = node.calls.find(token);
-  if (found == node.calls.end()) return;
+  if (found == node.calls.end())
+    return;
   const Call call = std::move(found->second);
   node.calls.erase(found);
-  if (call.origin) return send(node.number, call.origin, AnswerPacket{call.origin_life, call.origin_token, is_done, version, body});
-  if (!is_done) return;  // unknown
-  say("registry " + std::to_string(node.number) + (call.is_read ? " answers a read with version " + std::to_string(version.value) + ", body " + body : " acknowledges version " + std::to_string(call.version.value)));
-  if (call.is_read) return history_.finish_read(call.call, version.value, body);
+  if (call.origin)
+    return send(node.number, call.origin,
+                AnswerPacket{call.origin_life, call.origin_token, is_done, version, body});
+  if (!is_done)
+    return;  // unknown
+  say("registry " + std::to_string(node.number) +
+      (call.is_read
+           ? " answers a read with version " + std::to_string(version.value) + ", body " + body
+           : " acknowledges version " + std::to_string(call.version.value)));
+  if (call.is_read)
+    return history_.finish_read(call.call, version.value, body);
   history_.finish_write(call.call);
   ledger_.acknowledge(call.version);
 }
--- a/tools/model_world.h
+++ b/tools/model_world.h
@@ -1,6 +1,6 @@
 #pragma once
-// A simulated site around the project's own agreement, roll-out, grants and leases: network, disks, clocks, machines.
-// One thread; time goes from event to event.
+// A simulated site around the project's own agreement, roll-out, grants and leases: network, disks,
+// clocks, machines. One thread; time goes from event to event.
 #include <deque>
 #include <map>
 #include <memory>
@@ -16,7 +16,8 @@
 
 namespace saddlewing::model {
 
-// Between registries, and between them and brokers. The project's own frames for these carry more than is modelled.
+// Between registries, and between them and brokers. The project's own frames for these carry more
+// than is modelled.
 struct CallPacket {  // an operator's call handed to the leader
   int origin = 0;
   std::uint64_t life = 0, token = 0;
@@ -46,7 +47,8 @@
   std::uint64_t serial = 0;
   bool is_saved = false;
 };
-using Content = std::variant<std::monostate, RaftMessage, CallPacket, AnswerPacket, FollowPacket, BeatPacket, FinishedSave>;
+using Content = std::variant<std::monostate, RaftMessage, CallPacket, AnswerPacket, FollowPacket,
+                             BeatPacket, FinishedSave>;
 
 class World {
  public:
@@ -58,11 +60,19 @@
   struct Event {
     Micros at;
     std::uint64_t order;
-    enum class Kind { deliver, wake, save, start, follow } kind;
+    enum class Kind {
+      deliver,
+      wake,
+      save,
+      start,
+      follow
+    } kind;
     int from, to;
     std::uint64_t life;  // of the node it is for; deliveries reach any
     Content content;
-    bool operator<(const Event& other) const { return std::pair(at, order) > std::pair(other.at, other.order); }  // for a heap
+    bool operator<(const Event& other) const {
+      return std::pair(at, order) > std::pair(other.at, other.order);
+    }  // for a heap
   };
   struct Machine {  // what a registry's and a broker's have in common
     int number = 0;
@@ -70,7 +80,7 @@
     std::uint64_t life = 0;
     double rate = 1;
     Micros offset = 0;
-    int cut = 0;  // 1 in, 2 out
+    int cut = 0;              // 1 in, 2 out
     std::vector<Event> held;  // while frozen
   };
   struct Call {
@@ -91,7 +101,8 @@
   struct Node : Machine {
     std::string address;
     std::unique_ptr<Agreement> agreement;
-    Durable disk, disk_before;  // what the next life finds; what a save replaced whose folder was not synced yet
+    Durable disk, disk_before;  // what the next life finds; what a save replaced whose folder was
+                                // not synced yet
     bool has_disk = false, has_before = false;
     DiskMode mode = DiskMode::well;
     std::optional<Agreement::Save> pending;
@@ -134,7 +145,9 @@
   void heal();
   bool is_well(bool should_say);
   void say(const std::string& text);
-  void fail(const char* check, std::string text) { ledger_.fail(check, std::move(text)); }
+  void fail(const char* check, std::string text) {
+    ledger_.fail(check, std::move(text));
+  }
 
   // model_nodes.cpp
   Node& add_node(int number);
@@ -150,7 +163,8 @@
   void receive(Node& node, int from, RaftMessage& message);
   void begin_call(Node& node, bool is_read, std::int64_t version);
   void route_calls(Node& node);
-  void finish_call(Node& node, std::uint64_t token, bool is_done, Version version, const std::string& body);
+  void finish_call(Node& node, std::uint64_t token, bool is_done, Version version,
+                   const std::string& body);
   void plant_in_entry(Node& node, const Durable& durable);
   std::vector<std::string> contacts() const;
 
@@ -170,7 +184,7 @@
   std::vector<Event> heap_;
   std::map<int, std::unique_ptr<Node>> nodes_;
   std::map<int, std::unique_ptr<Broker>> brokers_;
-  std::map<std::string, int> numbers_;  // by address
+  std::map<std::string, int> numbers_;         // by address
   std::map<std::pair<int, int>, bool> links_;  // cut, from and to
   std::map<std::pair<int, int>, std::uint64_t> sent_;
   std::vector<Granted> granted_;
