--- a/src/coordination/agreement_append.cpp
+++ b/src/coordination/agreement_append.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-constexpr std::size_t most_kept = 4;                // entries whose content is kept
-constexpr std::size_t most_kept_bytes = 24u << 20;  // of those beyond the last two
-constexpr std::size_t most_window = 64 * piece_bytes;
+constexpr std::size_t max_kept = 4;                // entries whose content is kept
+constexpr std::size_t max_kept_bytes = 24u << 20;  // of those beyond the last two
+constexpr std::size_t max_window = 64 * piece_bytes;
 constexpr std::size_t sent_unasked = piece_bytes;  // to one that has not said yet what it holds
 
 }  // namespace
 
-void Agreement::keep_content() {
-  contents_.push_back(content_of(durable_.entry));
+void RaftNode::keep_content() {
+  contents_.push_back(content_of(persistent_.entry));
   changes_.clear();
   // What is on its way to somebody stays: the next change builds on it there.
   const auto is_on_its_way = [&](const EntryContentSnapshot& content) {
@@ -26,18 +26,18 @@
     });
   };
   std::size_t bytes = 0, count = 0;
-  for (auto place = contents_.rbegin(); place != contents_.rend(); ++place) {
-    if (++count > 1 && is_on_its_way(*place))
+  for (auto position = contents_.rbegin(); position != contents_.rend(); ++position) {
+    if (++count > 1 && is_on_its_way(*position))
       continue;
-    bytes += (*place)->size();
-    if (count > most_kept || (count > 2 && bytes > most_kept_bytes))
-      *place = nullptr;
+    bytes += (*position)->size();
+    if (count > max_kept || (count > 2 && bytes > max_kept_bytes))
+      *position = nullptr;
   }
   std::erase(contents_, nullptr);
 }
 
 // Made once for all followers that hold the same entry.
-EntryChangeSnapshot Agreement::change_for(const Peer& peer) {
+EntryDeltaSnapshot RaftNode::change_for(const Peer& peer) {
   const EntryContent* base = nullptr;
   for (const EntryContentSnapshot& content : contents_)
     if (!peer.should_send_whole && peer.has_told && content->entry->index.value &&
@@ -49,13 +49,13 @@
     if (made.base_term == base_term && made.base_index == base_index)
       return made.change;
   changes_.push_back(
-      {base_term, base_index, durable_.entry->index, make_change(*contents_.back(), base)});
+      {base_term, base_index, persistent_.entry->index, make_change(*contents_.back(), base)});
   return changes_.back().change;
 }
 
-void Agreement::broadcast(Moment now, bool is_beat) {
+void RaftNode::broadcast(TimePoint now, bool is_beat) {
   if (is_beat) {
-    beat_due_ = now + options_.beat;
+    heartbeat_due_ = now + options_.heartbeat;
     round_sent_[++round_] = now;
     while (round_sent_.size() > 64)
       round_sent_.erase(round_sent_.begin());
@@ -64,12 +64,12 @@
     send_append(peer, now, is_beat);
 }
 
-void Agreement::send_append(Peer& peer, Moment now, bool is_beat) {
+void RaftNode::send_append(Peer& peer, TimePoint now, bool is_beat) {
   if (is_beat) {
     RaftMessage message = make(Type::append);
     message.round = round_;
     message.is_confirmed = is_confirmed(now);
-    if (committed_ && committed_->term == durable_.term)
+    if (committed_ && committed_->term == persistent_.term)
       message.commit = committed_->index;
     send(peer.address, std::move(message), false);
   }
@@ -78,28 +78,28 @@
 
 // Invariant: one change at a time is on its way to a peer; it is ended also when newer entries came
 // meanwhile, so that one that lags always gets on.
-void Agreement::send_pieces(Peer& peer, Moment now) {
+void RaftNode::send_pieces(Peer& peer, TimePoint now) {
   const auto holds = [&](Term term, Index index) {
     return peer.has_told && std::pair(peer.held_term, peer.held_index) >= std::pair(term, index);
   };
-  if (peer.change && (peer.change->head.term != durable_.term ||
+  if (peer.change && (peer.change->head.term != persistent_.term ||
                       holds(peer.change->head.term, peer.change->head.index)))
     peer.change = nullptr;
-  if (holds(durable_.entry->term, durable_.entry->index))
+  if (holds(persistent_.entry->term, persistent_.entry->index))
     return;
   if (!peer.change) {
     if (!peer.has_told && contents_.back()->size() > sent_unasked)
       return;  // its first answer tells
     peer.change = change_for(peer);
     peer.sent = peer.answered = peer.told = 0;
-  } else if (now - peer.sent_at > options_.beat * 3) {  // lost, or on a way that holds less
+  } else if (now - peer.sent_at > options_.heartbeat * 3) {  // lost, or on a way that holds less
     peer.sent = peer.answered = peer.told;
     peer.window = std::max(piece_bytes, peer.window / 2);
   }
   while (peer.sent < peer.change->bytes.size() && peer.sent - peer.answered < peer.window) {
     RaftMessage message = make(Type::append);
     message.piece = peer.change->piece(peer.sent);
-    if (committed_ && committed_->term == durable_.term)
+    if (committed_ && committed_->term == persistent_.term)
       message.commit = committed_->index;
     peer.sent += message.piece->bytes.size();
     peer.sent_at = now;
@@ -107,42 +107,42 @@
   }
 }
 
-void Agreement::take_append(const RaftMessage& message, Moment now) {
-  if (message.term < durable_.term) {
+void RaftNode::take_append(const RaftMessage& message, TimePoint now) {
+  if (message.term < persistent_.term) {
     send(message.address, make(Type::appended), true);
     return;
   }
-  if (message.term > durable_.term || role_ != Role::follower)
+  if (message.term > persistent_.term || role_ != Role::follower)
     follow(message.term, now);
-  leader_id_ = former_leader_ = message.from;
+  leader_id_ = previous_leader_id_ = message.from;
   leader_ = message.address;
-  heard_leader_ = now;
+  last_leader_contact_ = now;
   leader_last_ = message.entry_index;
   if (message.is_confirmed)
-    heard_confirmed_ = now;
+    last_confirmed_contact_ = now;
   attempts_ = 0;
   is_removed_ = false;
   set_election(now);
   bool is_new = false, wants_whole = false;
   if (message.piece) {
-    const EntryPiece& piece = *message.piece;
-    const bool is_wanted =
-        std::pair(piece.term, piece.index) > std::pair(durable_.entry->term, durable_.entry->index);
+    const EntryChunk& piece = *message.piece;
+    const bool is_wanted = std::pair(piece.term, piece.index) >
+                           std::pair(persistent_.entry->term, persistent_.entry->index);
     EntrySnapshot entry;
     // A leader's entries are of its own term, so a greater one replaces ours and a smaller one
     // comes late.
     const auto step = is_wanted && piece.term == message.term
-                          ? assembly_.take(piece, durable_.entry, entry)
-                          : EntryAssembly::Step::more;
-    if (step == EntryAssembly::Step::whole) {
+                          ? assembly_.take(piece, persistent_.entry, entry)
+                          : ChunkAssembler::Step::more;
+    if (step == ChunkAssembler::Step::whole) {
       set_entry(std::move(entry));
       is_new = true;
     }
-    wants_whole = step == EntryAssembly::Step::unusable;
+    wants_whole = step == ChunkAssembler::Step::unusable;
   }
   // What this leader sent in its term and committed since is committed here, too.
-  if (durable_.entry->term == message.term && durable_.entry->index <= message.commit)
-    committed_ = durable_.entry;
+  if (persistent_.entry->term == message.term && persistent_.entry->index <= message.commit)
+    committed_ = persistent_.entry;
   RaftMessage reply = make(Type::appended);
   reply.round = message.round;
   reply.piece_index = assembly_.index();
@@ -158,7 +158,7 @@
   send(message.address, std::move(reply), false);
 }
 
-void Agreement::note_progress(Peer& peer, const RaftMessage& message, Moment now) {
+void RaftNode::update_progress(Peer& peer, const RaftMessage& message, TimePoint now) {
   const auto told = std::pair(message.entry_term, message.entry_index);
   // What it held and had not synced is gone with its process: by the newest beat that it answered
   // it may hold less than it said.
@@ -176,7 +176,7 @@
     peer.should_send_whole = false;
   }
   peer.has_told = true;
-  if (message.is_granted && message.entry_term == durable_.term)
+  if (message.is_granted && message.entry_term == persistent_.term)
     peer.matched = std::max(peer.matched, message.entry_index);
   peer.told = peer.change && message.piece_index == peer.change->head.index
                   ? std::min(message.piece_end, peer.sent)
@@ -186,16 +186,16 @@
     return;
   peer.answered = message.piece_end;
   // A way that answers within a beat may hold more; beats must not wait behind what it holds.
-  if (now - peer.sent_at < options_.beat)
-    peer.window = std::min(most_window, peer.window + piece_bytes);
+  if (now - peer.sent_at < options_.heartbeat)
+    peer.window = std::min(max_window, peer.window + piece_bytes);
   else
     peer.window = std::max(piece_bytes, peer.window / 2);
 }
 
-void Agreement::take_appended(const RaftMessage& message, Moment now) {
-  if (message.term > durable_.term)
+void RaftNode::take_appended(const RaftMessage& message, TimePoint now) {
+  if (message.term > persistent_.term)
     return follow(message.term, now);
-  if (role_ != Role::leader || message.term < durable_.term)
+  if (role_ != Role::leader || message.term < persistent_.term)
     return;
   const auto found = peers_.find(message.from);
   // At a member's address somebody else answers: it lost its disk, and what it sent to join may be
@@ -203,7 +203,7 @@
   if (found == peers_.end())
     return take_join(message, now);
   Peer& peer = found->second;
-  peer.heard = now;
+  peer.last_contact = now;
   if (message.round > peer.round) {
     peer.round = message.round;
     if (const auto sent = round_sent_.find(message.round); sent != round_sent_.end())
@@ -211,7 +211,7 @@
   }
   if (const auto learner = learners_.find(message.from); learner != learners_.end())
     learner->second = now;
-  note_progress(peer, message, now);
+  update_progress(peer, message, now);
   send_pieces(peer, now);
   check_commit(now);
   check_reads();
--- a/src/coordination/agreement_status.cpp
+++ b/src/coordination/agreement_status.cpp
@@ -6,38 +6,38 @@
 namespace saddlewing {
 namespace {
 
-std::uint64_t age(Moment since, Moment now) {
-  return static_cast<std::uint64_t>(std::max(Span(0), span_between(since, now)).count());
+std::uint64_t age(TimePoint since, TimePoint now) {
+  return static_cast<std::uint64_t>(std::max(Duration(0), elapsed(since, now)).count());
 }
 
-CoreStatus::Role told(Agreement::Role role) {
+ClusterStatus::Role told(RaftNode::Role role) {
   switch (role) {
-    case Agreement::Role::follower:
-      return CoreStatus::Role::follower;
-    case Agreement::Role::pre_candidate:
-      return CoreStatus::Role::pre_candidate;
-    case Agreement::Role::candidate:
-      return CoreStatus::Role::candidate;
-    case Agreement::Role::leader:
+    case RaftNode::Role::follower:
+      return ClusterStatus::Role::follower;
+    case RaftNode::Role::pre_candidate:
+      return ClusterStatus::Role::pre_candidate;
+    case RaftNode::Role::candidate:
+      return ClusterStatus::Role::candidate;
+    case RaftNode::Role::leader:
       break;
   }
-  return CoreStatus::Role::leader;
+  return ClusterStatus::Role::leader;
 }
 
 }  // namespace
 
-CoreStatus Agreement::status(Moment now) const {
-  CoreStatus status;
-  status.self = durable_.self;
+ClusterStatus RaftNode::status(TimePoint now) const {
+  ClusterStatus status;
+  status.self = persistent_.self;
   status.address = options_.address;
   status.role = told(role_);
-  status.is_voter = is_voter(durable_.self);
+  status.is_voter = is_voter(persistent_.self);
   status.is_removed = is_removed_;
-  status.term = durable_.term;
+  status.term = persistent_.term;
   status.leader = leader_;
   if (role_ == Role::follower && !leader_.empty())
-    status.leader_heard = age(heard_leader_, now);
-  status.last = durable_.entry->index;
+    status.leader_last_contact = age(last_leader_contact_, now);
+  status.last = persistent_.entry->index;
   status.leader_last = role_ == Role::leader ? status.last
                        : leader_.empty()     ? Index{}
                                              : leader_last_;
@@ -47,22 +47,22 @@
     status.committed = committed_->index;
     status.version = committed_->version;
   }
-  status.core_size = durable_.entry->core_size;
+  status.core_size = persistent_.entry->core_size;
   status.is_confirmed = is_confirmed(now);
   status.is_save_failing = is_save_failing_;
   status.is_save_stuck = save_started_ && now - *save_started_ > options_.stuck;
   if (save_started_)
     status.saving = age(*save_started_, now);
   const auto add = [&](MemberId id, const std::string& address, bool is_voter) {
-    CoreStatus::Peer told{id, address, is_voter, false, false, 0, 0};
-    if (id == durable_.self) {
+    ClusterStatus::Peer told{id, address, is_voter, false, false, 0, 0};
+    if (id == persistent_.self) {
       told.is_known = true;
       told.is_matched = role_ == Role::leader && saved_ >= entry_serial_;
     } else if (const auto found = peers_.find(id); role_ == Role::leader && found != peers_.end()) {
       const Peer& peer = found->second;
       told.is_known = true;
       told.is_matched = peer.matched == status.last;
-      told.heard = age(peer.heard, now);
+      told.last_contact = age(peer.last_contact, now);
       if (!told.is_matched && peer.has_told)
         told.behind = status.last.value - std::min(status.last.value, peer.held_index.value);
     }
--- a/src/coordination/aid.cpp
+++ b/src/coordination/aid.cpp
@@ -2,8 +2,9 @@
 
 namespace saddlewing {
 
-AidWork::AidWork(Ground& ground, std::uint64_t token, std::vector<Candidates> parts,
-                 std::size_t best_count, Span flush_after, Span time_left, Moment now)
+DelegatedGatherWork::DelegatedGatherWork(Ground& ground, std::uint64_t token,
+                                         std::vector<Candidates> parts, std::size_t best_count,
+                                         Duration flush_after, Duration time_left, TimePoint now)
     : ground_(ground),
       token_(token),
       candidates_(std::move(parts)),
@@ -15,19 +16,19 @@
       best_(best_count) {
 }
 
-void AidWork::start(Moment now) {
+void DelegatedGatherWork::start(TimePoint now) {
   for (std::size_t index = 0; index < parts_.size() && is_open(); ++index)
     ask(index, now);
 }
 
-void AidWork::ask(std::size_t index, Moment now) {
+void DelegatedGatherWork::ask(std::size_t index, TimePoint now) {
   Part& part = parts_[index];
   const Candidates& candidates = candidates_[index];
   for (;;) {
     const PickResult picked =
-        ground_.pick(candidates.backends, part.tried, candidates.most_connections, now, {});
+        ground_.pick(candidates.backends, part.tried, candidates.max_connections, now, {});
     if (!picked.backend) {
-      next_.failed.push_back({index, static_cast<std::uint64_t>(Kind::nobody_up), false});
+      next_.failed.push_back({index, static_cast<std::uint64_t>(ErrorCode::nobody_up), false});
       return settle(index, now);
     }
     part.tried.push_back(picked.backend);
@@ -36,7 +37,8 @@
   }
 }
 
-void AidWork::take_outcome(std::size_t index, BackendOutcome outcome, Span, Moment now) {
+void DelegatedGatherWork::handle_response(std::size_t index, BackendResponse outcome, Duration,
+                                          TimePoint now) {
   if (!is_open() || parts_[index].is_settled)
     return;
   const bool is_success = outcome.status >= 200 && outcome.status < 300 && !outcome.is_not_run;
@@ -44,14 +46,16 @@
     next_.done.push_back({index, std::move(outcome.seal)});
     best_.add(outcome.body);
   } else {
-    next_.failed.push_back(
-        {index, static_cast<std::uint64_t>(outcome.is_not_run ? Kind::turned_away : Kind::garbled),
-         true});
+    next_.failed.push_back({index,
+                            static_cast<std::uint64_t>(outcome.is_not_run ? ErrorCode::turned_away
+                                                                          : ErrorCode::garbled),
+                            true});
   }
   settle(index, now);
 }
 
-void AidWork::take_breakdown(std::size_t index, Kind kind, bool may_have_run, Moment now) {
+void DelegatedGatherWork::handle_failure(std::size_t index, ErrorCode kind, bool may_have_run,
+                                         TimePoint now) {
   if (!is_open() || parts_[index].is_settled)
     return;
   if (!may_have_run)
@@ -60,7 +64,7 @@
   settle(index, now);
 }
 
-void AidWork::settle(std::size_t index, Moment now) {
+void DelegatedGatherWork::settle(std::size_t index, TimePoint now) {
   parts_[index].is_settled = true;
   // Parts of one request take about alike, so those that come much later than half of them are
   // stragglers, and do not hold the others back.
@@ -71,19 +75,19 @@
     flush(now);
 }
 
-void AidWork::flush(Moment now) {
+void DelegatedGatherWork::flush(TimePoint now) {
   has_flushed_ = true;
   is_closed_ = settled_ == parts_.size();
-  Aided aided = std::move(next_);
+  GatherResult aided = std::move(next_);
   next_ = {};
   aided.token = token_;
-  aided.held = static_cast<std::uint64_t>(span_between(began_, now).count());
+  aided.held = static_cast<std::uint64_t>(elapsed(began_, now).count());
   aided.records = best_.take();
   best_ = BestRecords(best_count_);
-  ground_.send_aided(*this, std::move(aided), now);
+  ground_.send_gather_result(*this, std::move(aided), now);
 }
 
-void AidWork::on_due(Moment now) {
+void DelegatedGatherWork::on_due(TimePoint now) {
   if (!is_open())
     return;
   if (now >= deadline_) {
--- a/src/coordination/aid.h
+++ b/src/coordination/aid.h
@@ -12,24 +12,27 @@
 
 namespace saddlewing {
 
-class AidWork final : public Asker {
+class DelegatedGatherWork final : public Requester {
  public:
-  class Ground : public virtual AskGround {
+  class Ground : public virtual AttemptSender {
    public:
-    virtual void send_aided(AidWork& work, Aided aided, Moment now) = 0;
+    virtual void send_gather_result(DelegatedGatherWork& work, GatherResult aided,
+                                    TimePoint now) = 0;
   };
   struct Candidates {
     std::vector<BackendPointer> backends;
-    int most_connections = 1;
+    int max_connections = 1;
   };
-  AidWork(Ground& ground, std::uint64_t token, std::vector<Candidates> parts,
-          std::size_t best_count, Span flush_after, Span time_left, Moment now);
+  DelegatedGatherWork(Ground& ground, std::uint64_t token, std::vector<Candidates> parts,
+                      std::size_t best_count, Duration flush_after, Duration time_left,
+                      TimePoint now);
 
-  void start(Moment now);
-  void on_due(Moment now) override;
-  void take_outcome(std::size_t part, BackendOutcome outcome, Span took, Moment now) override;
-  void take_breakdown(std::size_t part, Kind kind, bool may_have_run, Moment now) override;
-  Moment deadline() const override {
+  void start(TimePoint now);
+  void on_due(TimePoint now) override;
+  void handle_response(std::size_t part, BackendResponse outcome, Duration took,
+                       TimePoint now) override;
+  void handle_failure(std::size_t part, ErrorCode kind, bool may_have_run, TimePoint now) override;
+  TimePoint deadline() const override {
     return deadline_;
   }
   bool is_gathering() const override {
@@ -38,7 +41,7 @@
   bool is_open() const override {
     return !is_closed_;
   }
-  Moment next_due() const override {
+  TimePoint next_due() const override {
     return has_flushed_ || !settled_ ? deadline_ : flush_at_;
   }
 
@@ -47,18 +50,18 @@
     std::vector<const Backend*> tried;
     bool is_settled = false;
   };
-  void ask(std::size_t index, Moment now);
-  void settle(std::size_t index, Moment now);
-  void flush(Moment now);
+  void ask(std::size_t index, TimePoint now);
+  void settle(std::size_t index, TimePoint now);
+  void flush(TimePoint now);
 
   Ground& ground_;
   std::uint64_t token_;
   std::vector<Candidates> candidates_;
   std::vector<Part> parts_;
   std::size_t best_count_, settled_ = 0;
-  Moment began_, flush_at_, deadline_;
+  TimePoint began_, flush_at_, deadline_;
   BestRecords best_;
-  Aided next_;  // what goes out with the next frame
+  GatherResult next_;  // what goes out with the next frame
   bool has_flushed_ =
       false;  // from then on each part goes alone, so that the other side may drop any of them
   bool is_closed_ = false;
--- a/src/coordination/alerts.cpp
+++ b/src/coordination/alerts.cpp
@@ -12,14 +12,14 @@
 
 using Comparison = AlertRule::Comparison;
 
-bool parse_span(const std::string& text, Span& span) {
+bool parse_span(const std::string& text, Duration& span) {
   static const std::regex form(R"((\d{1,9})(ms|s|m|h))");
   std::smatch found;
   if (!std::regex_match(text, found, form))
     return false;
   const std::string unit = found[2];
   const std::int64_t factor = unit == "ms" ? 1 : unit == "s" ? 1000 : unit == "m" ? 60000 : 3600000;
-  span = Span(std::strtoll(found[1].str().c_str(), nullptr, 10) * factor);
+  span = Duration(std::strtoll(found[1].str().c_str(), nullptr, 10) * factor);
   return true;
 }
 
@@ -58,7 +58,7 @@
       !wrong.empty())
     return "expr " + wrong;
   if (node["for"] &&
-      (!node["for"].IsScalar() || !parse_span(node["for"].as<std::string>(), rule.hold)))
+      (!node["for"].IsScalar() || !parse_span(node["for"].as<std::string>(), rule.lease)))
     return "for is not a span such as 5s";
   if (const YAML::Node labels = node["labels"];
       labels && labels.IsMap() && labels["refuse_from_rank"]) {
@@ -91,26 +91,28 @@
 
 }  // namespace
 
-Fault read_alert_rules(const std::string& text, std::vector<AlertRule>& rules) {
+Error read_alert_rules(const std::string& text, std::vector<AlertRule>& rules) {
   std::vector<AlertRule> read;
   try {
     const YAML::Node root = YAML::Load(text);
     if (!root.IsMap() || !root["groups"] || !root["groups"].IsSequence())
-      return fault(Kind::invalid, "groups is missing or not a list");
+      return make_error(ErrorCode::invalid, "groups is missing or not a list");
     for (const YAML::Node& group : root["groups"]) {
       if (!group.IsMap() || !group["rules"] || !group["rules"].IsSequence())
-        return fault(Kind::invalid, "rules of a group is missing or not a list");
+        return make_error(ErrorCode::invalid, "rules of a group is missing or not a list");
       for (const YAML::Node& node : group["rules"]) {
         AlertRule rule;
         if (const std::string wrong = read_rule(node, rule); !wrong.empty())
-          return fault(Kind::invalid,
-                       "rule " + (rule.name.empty() ? std::to_string(read.size()) : rule.name) +
-                           ": " + wrong);
+          return make_error(ErrorCode::invalid,
+                            "rule " +
+                                (rule.name.empty() ? std::to_string(read.size()) : rule.name) +
+                                ": " + wrong);
         read.push_back(std::move(rule));
       }
     }
   } catch (const YAML::Exception& thrown) {
-    return fault(Kind::unreadable, std::string("alert rules are not YAML: ") + thrown.what());
+    return make_error(ErrorCode::unreadable,
+                      std::string("alert rules are not YAML: ") + thrown.what());
   }
   rules = std::move(read);
   return {};
@@ -123,7 +125,8 @@
   refuse_from_ = 1 << 30;
 }
 
-std::vector<std::string> Alerts::evaluate(const std::function<double(Metric)>& value, Moment now) {
+std::vector<std::string> Alerts::evaluate(const std::function<double(Metric)>& value,
+                                          TimePoint now) {
   std::vector<std::string> turned;
   refuse_from_ = 1 << 30;
   for (State& state : states_) {
@@ -131,7 +134,7 @@
     if (state.rule.is_rate) {
       const double passed = std::chrono::duration<double>(now - state.seen_at).count();
       const double rate =
-          state.seen_at == Moment{} || passed <= 0 ? 0 : (seen - state.seen) / passed;
+          state.seen_at == TimePoint{} || passed <= 0 ? 0 : (seen - state.seen) / passed;
       state.seen = seen;
       state.seen_at = now;
       seen = rate;
@@ -140,7 +143,7 @@
     if (is_true && !state.is_pending)
       state.since = now;
     state.is_pending = is_true;
-    const bool is_firing = is_true && now - state.since >= state.rule.hold;
+    const bool is_firing = is_true && now - state.since >= state.rule.lease;
     if (is_firing != state.is_firing)
       turned.push_back(state.rule.name + (is_firing ? " fires" : " ceased"));
     state.is_firing = is_firing;
--- a/src/coordination/alerts.h
+++ b/src/coordination/alerts.h
@@ -24,13 +24,13 @@
     unequal
   } comparison{};
   double limit = 0;
-  Span hold{0};  // how long it must hold before it fires
+  Duration lease{0};  // how long it must hold before it fires
   int refuse_from =
       -1;  // while firing, requests of this rank and below it are refused; -1: only told in the log
 };
 
 // The fault's step names the rule and the field.
-Fault read_alert_rules(const std::string& text, std::vector<AlertRule>& rules);
+Error read_alert_rules(const std::string& text, std::vector<AlertRule>& rules);
 
 class Alerts {
  public:
@@ -39,7 +39,7 @@
     return states_.empty();
   }
   // Once a second. Gives the names of the rules that began or ceased to fire.
-  std::vector<std::string> evaluate(const std::function<double(Metric)>& value, Moment now);
+  std::vector<std::string> evaluate(const std::function<double(Metric)>& value, TimePoint now);
   // Requests of this rank or a greater number are refused now.
   int refuse_from() const {
     return refuse_from_;
@@ -49,7 +49,7 @@
   struct State {
     AlertRule rule;
     bool is_pending = false, is_firing = false;
-    Moment since{}, seen_at{};
+    TimePoint since{}, seen_at{};
     double seen = 0;  // the metric's value when last seen, for the rate
   };
   std::vector<State> states_;
--- a/src/coordination/asker.h
+++ b/src/coordination/asker.h
@@ -8,14 +8,14 @@
 namespace saddlewing {
 
 // What a backend said, as far as an asker needs it.
-struct BackendOutcome {
+struct BackendResponse {
   int status = 0;
   bool is_not_run = false;
   std::string reason, fields, seal, body;
 };
 
 // How long parts take, for the moment at which a further asking pays.
-struct Pace {
+struct LatencyEstimate {
   double mean_ms = 0, deviation_ms = 0;
   void see(double milliseconds) {
     if (mean_ms == 0) {
@@ -29,28 +29,30 @@
   }
 };
 
-class Asker {
+class Requester {
  public:
-  virtual ~Asker() = default;
-  virtual void take_outcome(std::size_t part, BackendOutcome outcome, Span took, Moment now) = 0;
-  virtual void take_breakdown(std::size_t part, Kind kind, bool may_have_run, Moment now) = 0;
-  virtual Moment deadline() const = 0;
+  virtual ~Requester() = default;
+  virtual void handle_response(std::size_t part, BackendResponse outcome, Duration took,
+                               TimePoint now) = 0;
+  virtual void handle_failure(std::size_t part, ErrorCode kind, bool may_have_run,
+                              TimePoint now) = 0;
+  virtual TimePoint deadline() const = 0;
   virtual bool is_gathering() const = 0;  // then reason and fields are of no use to it
-  virtual void on_due(Moment now) = 0;
+  virtual void on_due(TimePoint now) = 0;
   virtual bool is_open() const = 0;
-  virtual Moment next_due() const = 0;
+  virtual TimePoint next_due() const = 0;
 };
 
 // Where an asker acts.
-class AskGround {
+class AttemptSender {
  public:
-  virtual ~AskGround() = default;
-  virtual bool ask(Asker& asker, std::size_t part, Backend& backend,
-                   Moment now) = 0;  // false: not even begun
-  virtual PickResult pick(const std::vector<BackendPointer>& backends,
-                          const std::vector<const Backend*>& tried, int most_connections,
-                          Moment now,
-                          const PickWish& wish) = 0;  // most_connections: of all callers together
+  virtual ~AttemptSender() = default;
+  virtual bool ask(Requester& requester, std::size_t part, Backend& backend,
+                   TimePoint now) = 0;  // false: not even begun
+  virtual PickResult pick(
+      const std::vector<BackendPointer>& backends, const std::vector<const Backend*>& tried,
+      int max_connections, TimePoint now,
+      const PickConstraints& wish) = 0;  // max_connections: of all callers together
 };
 
 }  // namespace saddlewing
--- a/src/coordination/beat.cpp
+++ b/src/coordination/beat.cpp
@@ -10,18 +10,18 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::size_t longest_text = 256;
+constexpr std::size_t max_text_length = 256;
 
 }  // namespace
 
-Fault read_beat(const std::string& id, const std::string& body, bool is_leaving,
-                RosterEntry& entry) {
+Error read_backend_heartbeat(const std::string& id, const std::string& body, bool is_leaving,
+                             Endpoint& entry) {
   const bool is_plain = std::all_of(id.begin(), id.end(), [](unsigned char letter) {
     return letter > ' ' && letter < 127 && letter != '/' && letter != '?';
   });
-  if (id.empty() || id.size() > longest_text || !is_plain)
-    return fault(Kind::invalid, "the path names no backend");
-  RosterEntry read;
+  if (id.empty() || id.size() > max_text_length || !is_plain)
+    return make_error(ErrorCode::invalid, "the path names no backend");
+  Endpoint read;
   read.id = id;
   if (is_leaving) {
     read.phase = Phase::gone;
@@ -31,22 +31,22 @@
   Json::Value root;
   std::string reason;
   if (!read_json(body, root, reason) || !root.isObject())
-    return fault(Kind::invalid, "the beat is not a JSON object");
+    return make_error(ErrorCode::invalid, "the beat is not a JSON object");
   std::string first;
   const auto text = [&](const char* name, bool is_required) -> std::string {
     const Json::Value& value = root[name];
-    if (value.isString() && value.asString().size() <= longest_text &&
+    if (value.isString() && value.asString().size() <= max_text_length &&
         !(is_required && value.asString().empty()))
       return value.asString();
     if ((is_required || !value.isNull()) && first.empty())
       first = std::string(name) + " is missing or no proper text";
     return {};
   };
-  const auto number = [&](const char* name, double least, double most, double otherwise,
+  const auto number = [&](const char* name, double minimum, double limit, double otherwise,
                           bool is_required) -> double {
     const Json::Value& value = root[name];
     if (value.isNumeric() && !value.isBool() && std::isfinite(value.asDouble()) &&
-        value.asDouble() >= least && value.asDouble() <= most)
+        value.asDouble() >= minimum && value.asDouble() <= limit)
       return value.asDouble();
     if ((is_required || !value.isNull()) && first.empty())
       first = std::string(name) + " is missing or out of range";
@@ -54,7 +54,7 @@
   };
   read.service = text("service", true);
   read.address = text("address", true);
-  read.locality = text("zone", true);
+  read.zone = text("zone", true);
   read.software = text("version", false);
   read.capacity = static_cast<std::uint64_t>(number("capacity", 1, 1e6, 1, false));
   read.warm_left = static_cast<std::uint64_t>(number("warm_left_ms", 0, 1e9, 0, false));
@@ -68,7 +68,7 @@
   if (first.empty() && !role.empty() && role != "leader" && role != "copy")
     first = "store_role is neither leader nor copy";
   if (!first.empty())
-    return fault(Kind::invalid, first);
+    return make_error(ErrorCode::invalid, first);
   read.phase = state == "ready" ? Phase::ready : Phase::emptying;
   read.is_leader = role == "leader";
   entry = std::move(read);
--- a/src/coordination/beat.h
+++ b/src/coordination/beat.h
@@ -8,7 +8,7 @@
 namespace saddlewing {
 
 // The fault's step names the field. A leaving backend's body is not looked at.
-Fault read_beat(const std::string& id, const std::string& body, bool is_leaving,
-                RosterEntry& entry);
+Error read_backend_heartbeat(const std::string& id, const std::string& body, bool is_leaving,
+                             Endpoint& entry);
 
 }  // namespace saddlewing
--- a/src/coordination/bulkhead.h
+++ b/src/coordination/bulkhead.h
@@ -22,54 +22,54 @@
     return times_ > 0;
   }
   void see(const std::string& service, const std::string& route, double milliseconds, double bytes,
-           Moment now) {
+           TimePoint now) {
     auto& rows = by_service_[service];
-    if (rows.size() >= most_routes && !rows.contains(route))
+    if (rows.size() >= max_routes && !rows.contains(route))
       return;
     Row& row = rows[route];
     // Near the least: what is beyond it was mostly waiting, and waiting must not make a route
     // heavy.
-    row.work_ms = row.seen == Moment{}
+    row.work_ms = row.seen == TimePoint{}
                       ? milliseconds
                       : row.work_ms + (milliseconds - row.work_ms) *
                                           (milliseconds < row.work_ms ? 0.3 : 0.02);
-    row.bytes = row.seen == Moment{} ? bytes : row.bytes + (bytes - row.bytes) * 0.05;
+    row.bytes = row.seen == TimePoint{} ? bytes : row.bytes + (bytes - row.bytes) * 0.05;
     row.seen = now;
-    row.count = std::min(row.count + 1, least_seen);
+    row.count = std::min(row.count + 1, min_seen);
   }
-  bool is_heavy(const std::string& service, const std::string& route, Moment now) {
+  bool is_heavy(const std::string& service, const std::string& route, TimePoint now) {
     const auto found = by_service_.find(service);
     if (times_ <= 0 || found == by_service_.end())
       return false;
     const auto own = found->second.find(route);
-    if (own == found->second.end() || own->second.count < least_seen)
+    if (own == found->second.end() || own->second.count < min_seen)
       return false;
     double lightest = own->second.cost();
     for (const auto& [name, row] : found->second)
-      if (row.count >= least_seen && now - row.seen < remembered)
+      if (row.count >= min_seen && now - row.seen < remembered)
         lightest = std::min(lightest, row.cost());
     const double bound = times_ * lightest * (own->second.is_heavy ? stays : 1);
     return own->second.is_heavy = own->second.cost() > bound;
   }
   // Of the lightest route there, in milliseconds; how long a slot is kept for the next short one.
-  Span short_work(const std::string& service, Moment now) const {
+  Duration short_work(const std::string& service, TimePoint now) const {
     const auto found = by_service_.find(service);
-    double least = 0;
+    double minimum = 0;
     if (found != by_service_.end())
       for (const auto& [name, row] : found->second)
-        if (now - row.seen < remembered && (least == 0 || row.work_ms < least))
-          least = row.work_ms;
-    return Span(static_cast<std::int64_t>(least + 1));
+        if (now - row.seen < remembered && (minimum == 0 || row.work_ms < minimum))
+          minimum = row.work_ms;
+    return Duration(static_cast<std::int64_t>(minimum + 1));
   }
 
  private:
-  static constexpr std::size_t most_routes = 64;
-  static constexpr int least_seen = 16;
+  static constexpr std::size_t max_routes = 64;
+  static constexpr int min_seen = 16;
   static constexpr double stays = 0.75, bytes_in_a_ms = 20000;
-  static constexpr Span remembered{30000};
+  static constexpr Duration remembered{30000};
   struct Row {
     double work_ms = 0, bytes = 0;
-    Moment seen{};
+    TimePoint seen{};
     int count = 0;
     bool is_heavy = false;
     double cost() const {
@@ -84,7 +84,8 @@
 // Invariant: where short ones come by, a heavy one takes the last free slot only if no other heavy
 // one is there or has waited its turn; without short ones no slot is kept free for longer than
 // their work takes.
-inline bool admits_heavy(const Backend& backend, Span short_work, Span waited, Moment now) {
+inline bool admits_heavy(const Backend& backend, Duration short_work, Duration waited,
+                         TimePoint now) {
   if (backend.capacity <= 1)
     return true;  // order alone decides
   const double in_use =
@@ -99,9 +100,9 @@
 // In which order those that wait in a broker get their turns: by rank, and within a rank short and
 // heavy ones by weighted turns, each by deadline. Bounded.
 template <class Item>
-class TurnQueue {
+class FairQueue {
  public:
-  TurnQueue(std::size_t most, int short_turns) : most_(most), short_turns_(short_turns) {
+  FairQueue(std::size_t limit, int short_turns) : max_(limit), short_turns_(short_turns) {
   }
   bool is_empty() const {
     return size_ == 0;
@@ -110,8 +111,8 @@
     return size_;
   }
   // False: it is full of what goes before this.
-  bool push(Item item, int rank, bool is_heavy, Moment deadline) {
-    if (size_ >= most_ && (ranks_.empty() || ranks_.rbegin()->first <= rank))
+  bool push(Item item, int rank, bool is_heavy, TimePoint deadline) {
+    if (size_ >= max_ && (ranks_.empty() || ranks_.rbegin()->first <= rank))
       return false;
     auto& lines = ranks_[rank];
     (is_heavy ? lines.heavy : lines.light).emplace(deadline, std::move(item));
@@ -120,7 +121,7 @@
   }
   // The one that an arrival of a higher rank displaced; call it while over the bound.
   bool pop_last(Item& item) {
-    if (size_ <= most_ || ranks_.empty())
+    if (size_ <= max_ || ranks_.empty())
       return false;
     auto& [rank, lines] = *ranks_.rbegin();
     auto& line = lines.heavy.empty() ? lines.light : lines.heavy;
@@ -145,8 +146,8 @@
   }
 
  private:
-  struct Lines {
-    std::multimap<Moment, Item> light, heavy;
+  struct FairQueueLines {
+    std::multimap<TimePoint, Item> light, heavy;
     int light_turns = 0;
   };
   void drop_empty(int rank) {
@@ -155,9 +156,9 @@
     if (found->second.light.empty() && found->second.heavy.empty())
       ranks_.erase(found);
   }
-  std::size_t most_, size_ = 0;
+  std::size_t max_, size_ = 0;
   int short_turns_;
-  std::map<int, Lines> ranks_;
+  std::map<int, FairQueueLines> ranks_;
 };
 
 }  // namespace saddlewing
--- a/src/coordination/calls.cpp
+++ b/src/coordination/calls.cpp
@@ -8,18 +8,18 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::size_t most_orders = 256;
+constexpr std::size_t max_orders = 256;
 
 using Orders = std::map<std::int64_t, std::uint64_t>;
 
-Orders read_orders(const std::string& sheet) {
+Orders read_orders(const std::string& document) {
   Orders orders;
-  ByteReader reader(sheet);
-  while (reader.is_good() && !reader.is_whole()) {
+  ByteReader reader(document);
+  while (reader.is_good() && !reader.is_complete()) {
     const auto version = static_cast<std::int64_t>(reader.number());
     orders[version] = reader.number();
   }
-  return reader.is_whole() ? orders : Orders{};
+  return reader.is_complete() ? orders : Orders{};
 }
 
 }  // namespace
@@ -28,12 +28,12 @@
   return XXH3_64bits(body.data(), body.size());
 }
 
-std::string note_order(const std::string& sheet, Version version, std::uint64_t digest) {
-  Orders orders = read_orders(sheet);
+std::string record_order(const std::string& document, Version version, std::uint64_t digest) {
+  Orders orders = read_orders(document);
   orders.try_emplace(version.value, digest);
   // Dropped many at a time: in between a change of the sheet is what it gains at its end.
-  if (orders.size() > most_orders + most_orders / 4)
-    while (orders.size() > most_orders)
+  if (orders.size() > max_orders + max_orders / 4)
+    while (orders.size() > max_orders)
       orders.erase(orders.begin());
   Writer writer;
   for (const auto& [number, held] : orders)
@@ -41,8 +41,8 @@
   return writer.take();
 }
 
-Taken find_order(const std::string& sheet, Version version, std::uint64_t digest) {
-  const Orders orders = read_orders(sheet);
+Taken find_order(const std::string& document, Version version, std::uint64_t digest) {
+  const Orders orders = read_orders(document);
   if (orders.empty() || version.value < orders.begin()->first)
     return Taken::unknown;
   const auto found = orders.find(version.value);
@@ -52,8 +52,9 @@
 std::string acknowledge(const Entry& committed, Version version, std::uint64_t digest) {
   const std::uint64_t held = digest_of(committed.body);
   Taken taken = Taken::unknown;
-  if (const auto sheet = committed.sheets.find(orders_sheet); sheet != committed.sheets.end())
-    taken = find_order(sheet->second, version, digest);
+  if (const auto document = committed.documents.find(orders_document);
+      document != committed.documents.end())
+    taken = find_order(document->second, version, digest);
   if (version == committed.version)
     taken = digest == held ? Taken::yes : Taken::no;  // also if taken before there was such a sheet
   char hex[17];
@@ -69,8 +70,8 @@
   return Json::writeString(builder, value) + "\n";
 }
 
-std::uint64_t CallTable::add(bool is_read, Version version, std::string body,
-                             std::uint64_t origin_token, Moment deadline) {
+std::uint64_t PendingCalls::add(bool is_read, Version version, std::string body,
+                                std::uint64_t origin_token, TimePoint deadline) {
   Call& call = calls_[++last_];
   call.is_read = is_read;
   call.version = version;
@@ -82,26 +83,26 @@
   return last_;
 }
 
-std::uint64_t CallTable::add(Forward forward, std::string origin, LifeId origin_life,
-                             Moment deadline) {
+std::uint64_t PendingCalls::add(ForwardedCall forward, std::string origin,
+                                IncarnationId origin_incarnation, TimePoint deadline) {
   const std::uint64_t token =
       add(forward.is_read, forward.version, std::move(forward.body), forward.token, deadline);
   Call& call = calls_[token];
   call.origin = std::move(origin);
-  call.origin_life = origin_life;
+  call.origin_incarnation = origin_incarnation;
   call.origin_term = forward.term;
   return token;
 }
 
-Forward CallTable::send(std::uint64_t token, const std::string& to, Term term) {
+ForwardedCall PendingCalls::send(std::uint64_t token, const std::string& to, Term term) {
   Call& call = calls_[token];
   call.sent_to = to;
   call.asked_term = term;
   return {token, call.is_read, call.version, call.body, term};
 }
 
-std::uint64_t CallTable::take(const Forwarded& answer, const std::string& from) {
-  if (answer.asker != life_)
+std::uint64_t PendingCalls::take(const ForwardedReply& answer, const std::string& from) {
+  if (answer.requester != incarnation_)
     return 0;
   const auto found = calls_.find(answer.token);
   if (found == calls_.end())
@@ -117,17 +118,17 @@
   return answer.token;
 }
 
-Forwarded CallTable::answer(const Call& call, bool is_done, Term term, std::string body) {
-  return {call.origin_token, call.origin_life, call.is_read, call.version, call.digest, term,
+ForwardedReply PendingCalls::answer(const Call& call, bool is_done, Term term, std::string body) {
+  return {call.origin_token, call.origin_incarnation, call.is_read, call.version, call.digest, term,
           is_done,           std::move(body)};
 }
 
-CallTable::Call* CallTable::find(std::uint64_t token) {
+PendingCalls::Call* PendingCalls::find(std::uint64_t token) {
   const auto found = calls_.find(token);
   return found == calls_.end() ? nullptr : &found->second;
 }
 
-std::optional<CallTable::Call> CallTable::remove(std::uint64_t token) {
+std::optional<PendingCalls::Call> PendingCalls::remove(std::uint64_t token) {
   const auto found = calls_.find(token);
   if (found == calls_.end())
     return std::nullopt;
--- a/src/coordination/edges.cpp
+++ b/src/coordination/edges.cpp
@@ -9,21 +9,21 @@
 namespace {
 
 constexpr double step = 1.5;
-constexpr std::uint64_t most_counted = 1u << 24;  // of one cell in one frame
-constexpr std::size_t most_name = 256;
+constexpr std::uint64_t max_counted = 1u << 24;  // of one cell in one frame
+constexpr std::size_t max_name = 256;
 
 }  // namespace
 
-EdgeOptions edge_options(const Startup& startup) {
+EdgeOptions edge_options(const NodeSettings& settings) {
   EdgeOptions options;
-  options.is_on = startup.has_edges;
-  options.half_life = startup.edges_half_life;
-  options.avoid_times = startup.edges_avoid_times;
-  options.return_times = startup.edges_return_times;
-  options.least_samples = startup.edges_least_samples;
-  options.least_stay = startup.edges_least_stay;
-  options.fade = startup.edges_fade;
-  options.most_wait = startup.rollout_wait;
+  options.is_on = settings.has_edges;
+  options.half_life = settings.edges_half_life;
+  options.avoid_times = settings.edges_avoid_times;
+  options.return_times = settings.edges_return_times;
+  options.min_samples = settings.edges_min_samples;
+  options.min_stay = settings.edges_min_stay;
+  options.fade = settings.edges_fade;
+  options.max_wait = settings.rollout_wait;
   return options;
 }
 
@@ -63,17 +63,17 @@
   const auto found = rows_.find(name);
   if (found != rows_.end())
     return found->second.add(milliseconds, has_failed);
-  if (rows_.size() >= most_)
+  if (rows_.size() >= max_)
     return void(++dropped_);
   rows_[name].add(milliseconds, has_failed);
 }
 
 bool EdgeCounts::merge(const std::string& bytes) {
   std::map<EdgeName, EdgeCount> rows;
-  if (!decode_edges(bytes, most_, rows))
+  if (!decode_edges(bytes, max_, rows))
     return ++dropped_, false;
   for (const auto& [name, count] : rows) {
-    if (!rows_.contains(name) && rows_.size() >= most_)
+    if (!rows_.contains(name) && rows_.size() >= max_)
       ++dropped_;
     else
       rows_[name] += count;
@@ -90,9 +90,9 @@
 // Names once, each cell by their places, and of its buckets only those in use.
 std::string encode_edges(const std::map<EdgeName, EdgeCount>& rows) {
   std::vector<std::string> names;
-  std::map<std::string, std::uint64_t> places;
+  std::map<std::string, std::uint64_t> positions;
   const auto place_of = [&](const std::string& name) {
-    const auto [found, is_new] = places.try_emplace(name, names.size());
+    const auto [found, is_new] = positions.try_emplace(name, names.size());
     if (is_new)
       names.push_back(name);
     return found->second;
@@ -120,14 +120,15 @@
   return writer.text(cells).take();
 }
 
-bool decode_edges(const std::string& bytes, std::size_t most, std::map<EdgeName, EdgeCount>& rows) {
+bool decode_edges(const std::string& bytes, std::size_t limit,
+                  std::map<EdgeName, EdgeCount>& rows) {
   ByteReader reader(bytes);
   std::vector<std::string> names(reader.count(8));
   for (std::string& name : names)
-    if ((name = reader.text()).size() > most_name)
+    if ((name = reader.text()).size() > max_name)
       return false;
   const std::string cells = reader.text();
-  if (!reader.is_whole())
+  if (!reader.is_complete())
     return false;
   std::size_t at = 0;
   bool is_good = true;
@@ -148,13 +149,13 @@
     const std::uint64_t service = get(), zone = get(), kind = get(), failures = get(), busy = get(),
                         buckets = get();
     if (!is_good || service >= names.size() || zone >= names.size() || kind > 1 ||
-        buckets > edge_buckets || rows.size() >= most)
+        buckets > edge_buckets || rows.size() >= limit)
       return false;
     EdgeCount count;
     std::uint64_t sum = 0;
     for (std::uint64_t left = buckets; left > 0; --left) {
       const std::uint64_t bucket = get(), times = get();
-      if (!is_good || bucket >= edge_buckets || times == 0 || times > most_counted ||
+      if (!is_good || bucket >= edge_buckets || times == 0 || times > max_counted ||
           count.times[bucket])
         return false;
       count.times[bucket] = static_cast<std::uint32_t>(times);
@@ -187,7 +188,7 @@
 
 std::string encode_view(const EdgeView& view) {
   Writer writer;
-  writer.number(view.mark).number(view.trial_brokers).number(view.states.size());
+  writer.number(view.revision).number(view.trial_brokers).number(view.states.size());
   for (const EdgeState& state : view.states)
     writer.text(state.service)
         .text(state.zone)
@@ -200,7 +201,7 @@
 
 bool decode_view(const std::string& bytes, EdgeView& view) {
   ByteReader reader(bytes);
-  view.mark = reader.number();
+  view.revision = reader.number();
   view.trial_brokers = reader.number();
   view.states.resize(reader.count(48));
   for (EdgeState& state : view.states) {
@@ -215,29 +216,29 @@
       return false;
     state.verdict = static_cast<EdgeState::Verdict>(verdict);
   }
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
-bool EdgeGate::take(EdgeSnapshot view) {
-  if (!view || view->mark <= held())
+bool EdgeSelector::take(EdgeSnapshot view) {
+  if (!view || view->revision <= held())
     return false;
   coming_ = std::move(view);
-  if (coming_->mark <= in_force_)
+  if (coming_->revision <= in_force_)
     serving_ = std::exchange(coming_, nullptr);
   return true;
 }
 
-void EdgeGate::see_in_force(std::uint64_t mark, Moment now) {
-  if (mark < in_force_)
+void EdgeSelector::see_in_force(std::uint64_t revision, TimePoint now) {
+  if (revision < in_force_)
     return;  // of a leader before
-  in_force_ = mark;
+  in_force_ = revision;
   heard_ = now;
-  if (coming_ && coming_->mark <= in_force_)
+  if (coming_ && coming_->revision <= in_force_)
     serving_ = std::exchange(coming_, nullptr);
 }
 
-EdgeGate::Standing EdgeGate::standing(const std::string& service, const std::string& zone,
-                                      std::uint64_t brokers) const {
+EdgeSelector::Standing EdgeSelector::standing(const std::string& service, const std::string& zone,
+                                              std::uint64_t brokers) const {
   const EdgeState* state = serving_->find(service, zone, region_);
   if (!state)
     return {};
@@ -248,7 +249,7 @@
           state->verdict == EdgeState::Verdict::avoided && drawn < serving_->trial_brokers};
 }
 
-double EdgeGate::influence(Moment now) const {
+double EdgeSelector::influence(TimePoint now) const {
   const double silent = std::chrono::duration<double, std::milli>(now - heard_).count(),
                fade = static_cast<double>(options_.fade.count());
   return std::clamp(2 - 2 * silent / fade, 0.0, 1.0);
--- a/src/coordination/entry_change.cpp
+++ b/src/coordination/entry_change.cpp
@@ -14,20 +14,20 @@
 constexpr std::size_t worth_packing = 512;
 constexpr char is_plain = 0, is_packed = 1;  // the first byte on the way
 
-std::uint64_t digest_of(const std::string& body, const std::string& sheets) {
+std::uint64_t digest_of(const std::string& body, const std::string& documents) {
   const std::uint64_t digest = XXH3_64bits(body.data(), body.size());
-  return XXH3_64bits_withSeed(sheets.data(), sheets.size(), digest);
+  return XXH3_64bits_withSeed(documents.data(), documents.size(), digest);
 }
 
 // What of `to` differs from `from` goes to `middle`.
-EntryPiece::Kept compare(const std::string& from, const std::string& to, std::string& middle) {
-  EntryPiece::Kept kept;
-  const std::size_t most = std::min(from.size(), to.size());
+EntryChunk::Kept compare(const std::string& from, const std::string& to, std::string& middle) {
+  EntryChunk::Kept kept;
+  const std::size_t limit = std::min(from.size(), to.size());
   kept.prefix = static_cast<std::uint64_t>(
-      std::mismatch(to.begin(), to.begin() + static_cast<std::ptrdiff_t>(most), from.begin())
+      std::mismatch(to.begin(), to.begin() + static_cast<std::ptrdiff_t>(limit), from.begin())
           .first -
       to.begin());
-  const std::size_t rest = most - kept.prefix;
+  const std::size_t rest = limit - kept.prefix;
   kept.suffix = static_cast<std::uint64_t>(
       std::mismatch(to.rbegin(), to.rbegin() + static_cast<std::ptrdiff_t>(rest), from.rbegin())
           .first -
@@ -38,7 +38,7 @@
 }
 
 // The other way round; takes its part off the front of `middle`. False: it does not fit.
-bool restore(const EntryPiece::Kept& kept, const std::string& from, std::string_view& middle,
+bool restore(const EntryChunk::Kept& kept, const std::string& from, std::string_view& middle,
              std::string& to) {
   if (kept.prefix > from.size() || kept.suffix > from.size() - kept.prefix ||
       kept.changed > middle.size())
@@ -51,16 +51,16 @@
   return true;
 }
 
-bool read_sheets(const std::string& bytes, Entry& entry) {
+bool read_documents(const std::string& bytes, Entry& entry) {
   ByteReader reader(bytes);
   for (std::uint64_t left = reader.count(16); left > 0; --left) {
     std::string name = reader.text();
-    entry.sheets[std::move(name)] = reader.text();
+    entry.documents[std::move(name)] = reader.text();
   }
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
-bool is_same_change(const EntryPiece& left, const EntryPiece& right) {
+bool is_same_change(const EntryChunk& left, const EntryChunk& right) {
   return left.term == right.term && left.index == right.index &&
          left.base_term == right.base_term && left.base_index == right.base_index &&
          left.digest == right.digest && left.total == right.total;
@@ -70,26 +70,26 @@
 
 EntryContentSnapshot content_of(EntrySnapshot entry) {
   Writer writer;
-  writer.number(entry->sheets.size());
-  for (const auto& [name, text] : entry->sheets)
+  writer.number(entry->documents.size());
+  for (const auto& [name, text] : entry->documents)
     writer.text(name).text(text);
   auto content = std::make_shared<EntryContent>();
   content->entry = std::move(entry);
-  content->sheets = writer.take();
+  content->documents = writer.take();
   return content;
 }
 
-EntryChangeSnapshot make_change(const EntryContent& next, const EntryContent* base) {
-  auto change = std::make_shared<EntryChange>();
-  EntryPiece& head = change->head;
+EntryDeltaSnapshot make_change(const EntryContent& next, const EntryContent* base) {
+  auto change = std::make_shared<EntryDelta>();
+  EntryChunk& head = change->head;
   const Entry& entry = *next.entry;
   head.term = entry.term;
   head.index = entry.index;
   head.version = entry.version;
   head.core_size = entry.core_size;
   head.members = entry.members;
-  head.former = entry.former;
-  head.digest = digest_of(entry.body, next.sheets);
+  head.outgoing = entry.outgoing;
+  head.digest = digest_of(entry.body, next.documents);
   if (base) {
     head.base_term = base->entry->term;
     head.base_index = base->entry->index;
@@ -97,7 +97,7 @@
   const std::string none;
   std::string middle;
   head.body = compare(base ? base->entry->body : none, entry.body, middle);
-  head.sheets = compare(base ? base->sheets : none, next.sheets, middle);
+  head.documents = compare(base ? base->documents : none, next.documents, middle);
   std::string packed = middle.size() >= worth_packing ? pack(middle) : std::string();
   const bool should_pack = !packed.empty() && packed.size() < middle.size();
   change->bytes =
@@ -106,16 +106,16 @@
   return change;
 }
 
-EntryPiece EntryChange::piece(std::uint64_t offset) const {
-  EntryPiece piece = head;
+EntryChunk EntryDelta::piece(std::uint64_t offset) const {
+  EntryChunk piece = head;
   piece.offset = offset;
   piece.bytes = bytes.substr(offset, piece_bytes);
   return piece;
 }
 
-EntryAssembly::Step EntryAssembly::take(const EntryPiece& piece, const EntrySnapshot& held,
-                                        EntrySnapshot& entry) {
-  if (piece.total == 0 || piece.total > most_content || piece.bytes.size() > piece.total ||
+ChunkAssembler::Step ChunkAssembler::take(const EntryChunk& piece, const EntrySnapshot& held,
+                                          EntrySnapshot& entry) {
+  if (piece.total == 0 || piece.total > max_content || piece.bytes.size() > piece.total ||
       piece.offset > piece.total - piece.bytes.size())
     return Step::unusable;
   if (!is_same_change(piece, head_)) {
@@ -131,12 +131,12 @@
   return bytes_.size() < head_.total ? Step::more : finish(held, entry);
 }
 
-EntryAssembly::Step EntryAssembly::finish(const EntrySnapshot& held, EntrySnapshot& entry) {
+ChunkAssembler::Step ChunkAssembler::finish(const EntrySnapshot& held, EntrySnapshot& entry) {
   const std::string travelled = std::exchange(bytes_, {});
-  const EntryPiece head = std::exchange(head_, {});
+  const EntryChunk head = std::exchange(head_, {});
   std::string middle;
   if (travelled[0] == is_packed) {
-    if (!unpack(travelled.substr(1), most_content, middle))
+    if (!unpack(travelled.substr(1), max_content, middle))
       return ++mismatches_, Step::unusable;
   } else {
     middle = travelled.substr(1);
@@ -146,19 +146,20 @@
     return Step::unusable;
   const EntryContentSnapshot base = content_of(has_base ? held : std::make_shared<const Entry>());
   auto read = std::make_shared<Entry>();
-  std::string sheets;
+  std::string documents;
   std::string_view rest = middle;
   const bool is_restored =
       restore(head.body, base->entry->body, rest, read->body) &&
-      restore(head.sheets, has_base ? base->sheets : std::string(), rest, sheets);
-  if (!is_restored || digest_of(read->body, sheets) != head.digest || !read_sheets(sheets, *read))
+      restore(head.documents, has_base ? base->documents : std::string(), rest, documents);
+  if (!is_restored || digest_of(read->body, documents) != head.digest ||
+      !read_documents(documents, *read))
     return ++mismatches_, Step::unusable;
   read->term = head.term;
   read->index = head.index;
   read->version = head.version;
   read->core_size = head.core_size;
   read->members = head.members;
-  read->former = head.former;
+  read->outgoing = head.outgoing;
   entry = std::move(read);
   return Step::whole;
 }
--- a/src/coordination/failover.h
+++ b/src/coordination/failover.h
@@ -19,20 +19,20 @@
 namespace saddlewing {
 
 struct FailoverOptions {
-  Span beat_every{1200};  // of backends
-  Span hold{3000};        // of poolers on the table of leads
-  Span settle{
+  Duration backend_heartbeat_interval{1200};  // of backends
+  Duration lease{3000};                       // of poolers on the table of leads
+  Duration settle{
       4000};  // a new leader of the core waits this long for what its forerunner gave or asked
-  Span ask_again{150};    // of a database that did not answer
-  Span late_raise{4000};  // a call of duty without an answer may take effect until then
+  Duration ask_again{150};        // of a database that did not answer
+  Duration late_promotion{4000};  // a call of duty without an answer may take effect until then
 };
 
 // A backend as the failover sees it.
-struct DatabaseSeat {
-  std::string id, service, locality;
-  bool is_leader = false;  // as it says itself
-  bool is_ready = false;   // not emptying
-  Moment beaten{};         // when it was last heard
+struct DatabaseEndpoint {
+  std::string id, service, zone;
+  bool is_leader = false;      // as it says itself
+  bool is_ready = false;       // not emptying
+  TimePoint last_heartbeat{};  // when it was last heard
 };
 
 class Failover {
@@ -41,81 +41,82 @@
     std::uint64_t token;
     std::string id, text;
   };
-  struct Raise {  // the call of duty
+  struct PromotionCall {  // the call of duty
     std::uint64_t token;
     std::string service, id;
   };
   struct Output {
     std::vector<Order> orders;
-    std::vector<Raise> raises;
-    std::optional<LeadTable> proposal;  // replaces the table once agreed
-    std::vector<std::string> news;      // for the log
+    std::vector<PromotionCall> raises;
+    std::optional<LeadershipTable> proposal;  // replaces the table once agreed
+    std::vector<std::string> news;            // for the log
   };
 
   explicit Failover(FailoverOptions options)
-      : options_(options), holders_(options.hold, options.settle) {
+      : options_(options), leases_(options.lease, options.settle) {
   }
 
   // `is_leading`: leads the core under a lease. `table`: as committed.
-  void tick(bool is_leading, const LeadTable& table, const std::map<std::string, int>& services,
-            const std::vector<DatabaseSeat>& seats, Moment now);
+  void tick(bool is_leading, const LeadershipTable& table,
+            const std::map<std::string, int>& services, const std::vector<DatabaseEndpoint>& seats,
+            TimePoint now);
   Output take();
-  void finish_order(std::uint64_t token, std::optional<DatabaseStatus> status, Moment now);
-  void finish_raise(std::uint64_t token, int status, Moment now);  // 0: no answer
+  void finish_order(std::uint64_t token, std::optional<DatabaseStatus> status, TimePoint now);
+  void finish_promotion(std::uint64_t token, int status, TimePoint now);  // 0: no answer
   void finish_proposal() {
     is_proposing_ = false;
   }  // agreed or not: the table tells
 
   // Holds. A grant is for the whole table; nobody else is promoted before it was given back or ran
   // out.
-  void note_pooler(const std::string& from, LifeId life, std::uint64_t mark,
-                   const std::string& locality, const std::string& failing, const std::string& fine,
-                   Moment now);
-  std::optional<Span> grant(const std::string& from, LifeId life, Moment now);
+  void record_pooler(const std::string& from, IncarnationId incarnation, std::uint64_t revision,
+                     const std::string& zone, const std::string& failing, const std::string& fine,
+                     TimePoint now);
+  std::optional<Duration> grant(const std::string& from, IncarnationId incarnation, TimePoint now);
 
  private:
   struct Witness {  // a pooler, and what it saw by the table of this mark
-    std::uint64_t mark = 0;
-    Moment told{};
-    std::string locality, failing, fine;
+    std::uint64_t revision = 0;
+    TimePoint told{};
+    std::string zone, failing, fine;
   };
   struct Case {  // of one service under change; forgotten with the lead of the core
-    Moment since{}, asked_since{}, step_due{}, raised{};  // asked_since: of the databases
-    Moment answered{};                                    // when a database last answered
+    TimePoint since{}, asked_since{}, step_due{}, promoted{};  // asked_since: of the databases
+    TimePoint answered{};                                      // when a database last answered
     std::map<std::string, DatabaseStatus> statuses;
     std::set<std::string> asked;
-    bool was_raised = false, is_refused = false, is_taken = false,
+    bool was_promoted = false, is_refused = false, is_taken = false,
          is_asking = false;    // is_asking: a call of duty is under way
     std::uint64_t number = 0;  // of the lead it belongs to
-    Lead::Phase phase{};
+    DatabaseLeadership::Phase phase{};
     std::uint64_t term_before = 0;
   };
   struct Pending {
     std::string service, id;
     bool is_step_down = false;
   };
-  using Seats = std::vector<const DatabaseSeat*>;
+  using Seats = std::vector<const DatabaseEndpoint*>;
 
-  void tend(const std::string& service, int sync, const Seats& seats, Moment now);
+  void maintain(const std::string& service, int sync, const Seats& seats, TimePoint now);
   void found(const std::string& service, const Seats& seats);
-  void watch(const Lead& lead, const Seats& seats, Moment now);
-  void close(const Lead& lead, int sync, const Seats& seats, Moment now);
-  void raise(const Lead& lead, const Seats& seats, Moment now);
+  void watch(const DatabaseLeadership& lead, const Seats& seats, TimePoint now);
+  void close(const DatabaseLeadership& lead, int sync, const Seats& seats, TimePoint now);
+  void promote(const DatabaseLeadership& lead, const Seats& seats, TimePoint now);
   void ask(const std::string& service, const std::string& id, const std::string& text,
            bool is_step_down);
-  void change(Lead lead, const std::string& news);
-  bool is_given_up(std::size_t place, Moment now, bool& is_unseen) const;
+  void change(DatabaseLeadership lead, const std::string& news);
+  bool is_given_up(std::size_t position, TimePoint now, bool& is_unseen) const;
 
   FailoverOptions options_;
   bool is_leading_ = false, is_proposing_ = false;
-  Moment led_since_{};
-  LeadTable table_;
-  std::optional<LeadTable> next_;
-  Holders holders_;
+  TimePoint led_since_{};
+  LeadershipTable table_;
+  std::optional<LeadershipTable> next_;
+  LeaseTable leases_;
   std::map<std::string, Witness> witnesses_;  // by inner address
   std::map<std::string, Case> cases_;
   std::map<std::uint64_t, Pending> pending_;
-  std::map<std::string, Moment> stepped_;       // when a false leader was last told
+  std::map<std::string, TimePoint> stepped_;    // when a false leader was last told
   std::map<std::string, std::uint64_t> terms_;  // of each service's log, as last seen of its leader
   std::uint64_t last_token_ = 0;
   Output output_;
--- a/src/coordination/grants.h
+++ b/src/coordination/grants.h
@@ -14,12 +14,13 @@
 // window, are no more than there are. A slot belongs to one life of a broker and comes free a
 // window after its grant ran out; a new leader grants nothing before the grants of its forerunner
 // must have come free.
-class Grants {
+class RetryQuotaAllocator {
  public:
-  Grants(int reserve, Span valid, Span window) : reserve_(reserve), valid_(valid), window_(window) {
+  RetryQuotaAllocator(int reserve, Duration valid, Duration window)
+      : reserve_(reserve), valid_(valid), window_(window) {
   }
 
-  void lead(bool is_leading, Moment now) {
+  void lead(bool is_leading, TimePoint now) {
     if (is_leading && !is_leading_) {
       slots_.clear();
       quiet_until_ = now + valid_ + window_ * 2;
@@ -28,7 +29,8 @@
   }
   // What this life of a broker may use, valid for `valid` from now; 0 while there is no slot for
   // it.
-  double grant(const std::string& broker, LifeId life, std::size_t brokers, Moment now) {
+  double grant(const std::string& broker, IncarnationId incarnation, std::size_t brokers,
+               TimePoint now) {
     if (!is_leading_ || now < quiet_until_ || reserve_ <= 0)
       return 0;
     std::erase_if(slots_,
@@ -36,43 +38,43 @@
     // The number of slots is set anew only while none is taken: it leaves room for as many brokers
     // again.
     if (slots_.empty())
-      most_slots_ = std::max<std::size_t>(4, brokers * 2);
-    const auto key = std::pair(broker, life.value);
-    if (!slots_.contains(key) && slots_.size() >= most_slots_)
+      max_slots_ = std::max<std::size_t>(4, brokers * 2);
+    const auto key = std::pair(broker, incarnation.value);
+    if (!slots_.contains(key) && slots_.size() >= max_slots_)
       return 0;
     slots_[key] = now;
-    return static_cast<double>(reserve_) / static_cast<double>(most_slots_);
+    return static_cast<double>(reserve_) / static_cast<double>(max_slots_);
   }
   std::size_t taken() const {
     return slots_.size();
   }
-  Span valid() const {
+  Duration valid() const {
     return valid_;
   }
 
  private:
   int reserve_;
-  Span valid_, window_;
+  Duration valid_, window_;
   bool is_leading_ = false;
-  Moment quiet_until_{};
-  std::size_t most_slots_ = 4;
-  std::map<std::pair<std::string, std::uint64_t>, Moment> slots_;  // when last granted
+  TimePoint quiet_until_{};
+  std::size_t max_slots_ = 4;
+  std::map<std::pair<std::string, std::uint64_t>, TimePoint> slots_;  // when last granted
 };
 
 // A broker's side: the grant of the moment, less a margin for the frame's way.
-class Reserve {
+class RetryQuota {
  public:
-  void take(double amount, Span valid, Moment now) {
+  void take(double amount, Duration valid, TimePoint now) {
     amount_ = amount;
     until_ = now + valid;
   }
-  double part(Moment now) const {
+  double part(TimePoint now) const {
     return now < until_ ? amount_ : 0;
   }
 
  private:
   double amount_ = 0;
-  Moment until_{};
+  TimePoint until_{};
 };
 
 }  // namespace saddlewing
--- a/src/coordination/holders.h
+++ b/src/coordination/holders.h
@@ -9,58 +9,59 @@
 
 namespace saddlewing {
 
-// Invariant: nobody acts by a table older than `mark` once is_held(mark) is false. A grant counts
-// here from its giving and at the holder from its asking, which came before; a new leader waits out
-// what its forerunner may have given.
-class Holders {
+// Invariant: nobody acts by a table older than `revision` once is_held(mark) is false. A grant
+// counts here from its giving and at the holder from its asking, which came before; a new leader
+// waits out what its forerunner may have given.
+class LeaseTable {
  public:
-  Holders(Span hold, Span settle) : hold_(hold), settle_(settle) {
+  LeaseTable(Duration lease, Duration settle) : lease_(lease), settle_(settle) {
   }
-  void reset(Moment now) {
+  void reset(TimePoint now) {
     rows_.clear();
     since_ = now;
   }
-  // `mark`: of the table by which alone it acts.
-  void note(const std::string& from, LifeId life, std::uint64_t mark, Moment now) {
-    const auto [place, is_new] = rows_.try_emplace({from, life});
-    Row& row = place->second;
+  // `revision`: of the table by which alone it acts.
+  void note(const std::string& from, IncarnationId incarnation, std::uint64_t revision,
+            TimePoint now) {
+    const auto [position, is_new] = rows_.try_emplace({from, incarnation});
+    Row& row = position->second;
     // The life before is over, and its holds with it. What of its frames comes late ends no hold of
     // its successor.
     if (is_new)
       for (auto& [key, other] : rows_)
-        if (key.first == from && key.second != life)
+        if (key.first == from && key.second != incarnation)
           other.until = {};
-    row.mark = std::max(row.mark, mark);
+    row.revision = std::max(row.revision, revision);
     row.told = now;
   }
-  Span grant(const std::string& from, LifeId life, Moment now) {
-    const auto found = rows_.find({from, life});
+  Duration grant(const std::string& from, IncarnationId incarnation, TimePoint now) {
+    const auto found = rows_.find({from, incarnation});
     if (found == rows_.end())
-      return Span(0);
-    found->second.until = now + hold_;
-    return hold_;
+      return Duration(0);
+    found->second.until = now + lease_;
+    return lease_;
   }
-  bool is_held(std::uint64_t mark, Moment now) const {
+  bool is_held(std::uint64_t revision, TimePoint now) const {
     if (now - since_ < settle_)
       return true;
     return std::any_of(rows_.begin(), rows_.end(), [&](const auto& item) {
-      return item.second.mark < mark && item.second.until >= now;
+      return item.second.revision < revision && item.second.until >= now;
     });
   }
-  void forget(Moment now) {
+  void forget(TimePoint now) {
     std::erase_if(rows_, [&](const auto& item) {
-      return item.second.until < now && now - item.second.told > hold_ * 4;
+      return item.second.until < now && now - item.second.told > lease_ * 4;
     });
   }
 
  private:
   struct Row {
-    std::uint64_t mark = 0;
-    Moment until{}, told{};
+    std::uint64_t revision = 0;
+    TimePoint until{}, told{};
   };
-  Span hold_, settle_;
-  Moment since_{};
-  std::map<std::pair<std::string, LifeId>, Row> rows_;  // by inner address and life
+  Duration lease_, settle_;
+  TimePoint since_{};
+  std::map<std::pair<std::string, IncarnationId>, Row> rows_;  // by inner address and life
 };
 
 }  // namespace saddlewing
--- a/src/coordination/lane.cpp
+++ b/src/coordination/lane.cpp
@@ -5,20 +5,21 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::size_t most_names = 256;  // prepared on one connection; beyond, it is cleared
-constexpr std::size_t most_rows = 4 << 20;
+constexpr std::size_t max_names = 256;  // prepared on one connection; beyond, it is cleared
+constexpr std::size_t max_rows = 4 << 20;
 
 }  // namespace
 
-void Lane::open(std::unique_ptr<LaneLink> link, Moment now) {
+void DatabaseConnection::open(std::unique_ptr<DatabaseConnectionLink> link, TimePoint now) {
   link_ = std::move(link);
   asked_ = now;
   expected_.push_back({Awaited::connect, {}, {}});
-  if (!link_->send(wire(WireKind::connect, {backend_->service, "saddlewing", backend_->id})))
+  if (!link_->send(
+          encode_message(WireKind::connect, {backend_->service, "saddlewing", backend_->id})))
     fail(Verdict::unknown);
 }
 
-int Lane::distance(const Values& values) const {
+int DatabaseConnection::distance(const Values& values) const {
   int count = 0;
   for (const auto& [name, value] : values_)
     if (!values.contains(name))
@@ -30,17 +31,18 @@
   return count;
 }
 
-void Lane::expect(Awaited what, const std::string& text, std::string first, std::string second) {
+void DatabaseConnection::expect(Awaited what, const std::string& text, std::string first,
+                                std::string second) {
   out_ += wire_ask("-", text);
   expected_.push_back({what, std::move(first), std::move(second)});
 }
 
-bool Lane::prepare(const Values& values, const Prepared* name, const std::string& begin,
-                   Moment now) {
+bool DatabaseConnection::prepare(const Values& values, const Prepared* name,
+                                 const std::string& begin, TimePoint now) {
   prepared_ = Verdict::none;
   asked_ = now;
   const bool must_clear = distance(values) >= 1000 ||
-                          (name && names_.size() >= most_names && !names_.contains(name->key));
+                          (name && names_.size() >= max_names && !names_.contains(name->key));
   if (must_clear)
     expect(Awaited::clear, "CLEAR");
   for (const auto& [key, value] : values) {
@@ -61,8 +63,8 @@
   return false;
 }
 
-void Lane::ask(const std::string& bytes, Moment now) {
-  state_ = State::asking;
+void DatabaseConnection::ask(const std::string& bytes, TimePoint now) {
+  state_ = State::attempting;
   asked_ = now;
   outcome_ = {};
   expected_.push_back({Awaited::ask, {}, {}});
@@ -70,13 +72,13 @@
     fail(Verdict::unknown);
 }
 
-void Lane::release(Moment now) {
+void DatabaseConnection::release(TimePoint now) {
   user_ = nullptr;
   if (state_ == State::broken)
     return;
   if (expected_.empty() && wire_state_ == 'I') {
     state_ = State::resting;
-    return keeper_.on_lane_ready(*this);
+    return owner_.on_connection_ready(*this);
   }
   state_ = State::ending;
   asked_ = now;
@@ -88,25 +90,25 @@
     fail(Verdict::unknown);
 }
 
-void Lane::close(Verdict why) {
+void DatabaseConnection::close(Verdict why) {
   user_ = nullptr;
   fail(why);
 }
 
-void Lane::fail(Verdict why) {
+void DatabaseConnection::fail(Verdict why) {
   if (state_ == State::broken)
     return;
   state_ = State::broken;
   if (link_)
     link_->close();
   expected_.clear();
-  LaneUser* user = std::exchange(user_, nullptr);
-  keeper_.on_lane_broken(*this, why);
+  ConnectionUser* user = std::exchange(user_, nullptr);
+  owner_.on_connection_broken(*this, why);
   if (user)
     user->on_broken(*this);
 }
 
-void Lane::take_message(WireMessage&& message, Moment now) {
+void DatabaseConnection::take_message(WireMessage&& message, TimePoint now) {
   if (state_ == State::broken)
     return;
   if (expected_.empty())
@@ -115,8 +117,8 @@
     case WireKind::row:
       if (has_ended_)
         return fail(Verdict::garbled);
-      outcome_.rows += wire(WireKind::row, {message.field(0)});
-      if (outcome_.rows.size() > most_rows)
+      outcome_.rows += encode_message(WireKind::row, {message.field(0)});
+      if (outcome_.rows.size() > max_rows)
         fail(Verdict::garbled);
       return;
     case WireKind::done:
@@ -146,16 +148,16 @@
   if (state != "I" && state != "T" && state != "E")
     return fail(Verdict::garbled);
   wire_state_ = outcome_.state = state[0];
-  outcome_.place = message.field(1);
-  LogPlace place;
-  if (read_place(outcome_.place, place))
-    keeper_.on_place(*backend_, place, asked_);
+  outcome_.position = message.field(1);
+  LogPosition position;
+  if (read_log_position(outcome_.position, position))
+    owner_.on_log_position(*backend_, position, asked_);
   Expected expected = std::move(expected_.front());
   expected_.pop_front();
   finish(std::move(expected), now);
 }
 
-void Lane::finish(Expected expected, Moment now) {
+void DatabaseConnection::finish(Expected expected, TimePoint now) {
   if (expected.what == Awaited::ask)
     return finish_ask(now);
   const Verdict verdict = outcome_.verdict;
@@ -173,7 +175,7 @@
   }
   if (!expected_.empty())
     return;
-  keeper_.on_answer(*backend_, verdict == Verdict::none || is_not_run(verdict));
+  owner_.on_answer(*backend_, verdict == Verdict::none || is_not_run(verdict));
   if (state_ == State::ending) {
     if (expected.what == Awaited::undo && (verdict != Verdict::none || wire_state_ != 'I'))
       return fail(Verdict::garbled);
@@ -183,7 +185,7 @@
     if (wire_state_ != 'I')
       return fail(Verdict::garbled);
     state_ = State::resting;
-    return keeper_.on_lane_ready(*this);
+    return owner_.on_connection_ready(*this);
   }
   if (state_ != State::preparing)
     return;
@@ -192,9 +194,9 @@
     user_->on_prepared(*this, prepared_);
 }
 
-void Lane::finish_ask(Moment now) {
-  LaneOutcome outcome = std::exchange(outcome_, {});
-  keeper_.on_answer(*backend_, outcome.verdict == Verdict::none || is_not_run(outcome.verdict));
+void DatabaseConnection::finish_ask(TimePoint now) {
+  StatementResult outcome = std::exchange(outcome_, {});
+  owner_.on_answer(*backend_, outcome.verdict == Verdict::none || is_not_run(outcome.verdict));
   if (outcome.verdict == Verdict::no_such)
     names_.clear();  // it knows less than it acknowledged
   if (state_ == State::ending || !user_) {
@@ -202,7 +204,7 @@
     return release(now);
   }
   state_ = State::held;
-  user_->on_outcome(*this, std::move(outcome));
+  user_->on_response(*this, std::move(outcome));
 }
 
 }  // namespace saddlewing
--- a/src/coordination/lane.h
+++ b/src/coordination/lane.h
@@ -20,56 +20,61 @@
   bool is_write = false;
 };
 
-class LaneLink {
+class DatabaseConnectionLink {
  public:
-  virtual ~LaneLink() = default;
+  virtual ~DatabaseConnectionLink() = default;
   virtual bool send(const std::string& bytes) = 0;  // false: the connection is gone
   virtual void close() = 0;
 };
 
-struct LaneOutcome {
+struct StatementResult {
   Verdict verdict = Verdict::none;  // none: done
   std::string text;                 // the stamp, or the error's text
   std::string rows;                 // whole messages, as they came
   char state = 'I';
-  std::string place;  // as READY told it
+  std::string position;  // as READY told it
 };
 
-class Lane;
-class LaneUser {
+class DatabaseConnection;
+class ConnectionUser {
  public:
-  virtual ~LaneUser() = default;
-  virtual void on_prepared(Lane& lane, Verdict verdict) = 0;  // none: the lane is as asked
-  virtual void on_outcome(Lane& lane, LaneOutcome outcome) = 0;
-  virtual void on_broken(Lane& lane) = 0;  // its link ended; never while resting
+  virtual ~ConnectionUser() = default;
+  virtual void on_prepared(DatabaseConnection& connection,
+                           Verdict verdict) = 0;  // none: the lane is as asked
+  virtual void on_response(DatabaseConnection& connection, StatementResult outcome) = 0;
+  virtual void on_broken(
+      DatabaseConnection& connection) = 0;  // its link ended; never while resting
 };
 
 // Its way: Greeting -> Resting -> Preparing -> Asking -> (Resting | Held) ... -> Broken. Ending: an
 // UNDO is under way. Invariant: `values_` and `names_` are what the backend acknowledged, nothing
 // more.
-class Lane {
+class DatabaseConnection {
  public:
   enum class State {
     greeting,
     resting,
     held,
     preparing,
-    asking,
+    attempting,
     ending,
     broken
   };
-  class Keeper {  // the pool
+  class Owner {  // the pool
    public:
-    virtual ~Keeper() = default;
-    virtual void on_lane_ready(Lane& lane) = 0;  // it rests, and may be given to another
-    virtual void on_lane_broken(Lane& lane, Verdict why) = 0;
-    virtual void on_place(Backend& backend, const LogPlace& place, Moment asked) = 0;
+    virtual ~Owner() = default;
+    virtual void on_connection_ready(
+        DatabaseConnection& connection) = 0;  // it rests, and may be given to another
+    virtual void on_connection_broken(DatabaseConnection& connection, Verdict why) = 0;
+    virtual void on_log_position(Backend& backend, const LogPosition& position,
+                                 TimePoint asked) = 0;
     virtual void on_answer(Backend& backend, bool is_fine) = 0;
   };
-  Lane(Keeper& keeper, BackendPointer backend) : keeper_(keeper), backend_(std::move(backend)) {
+  DatabaseConnection(Owner& keeper, BackendPointer backend)
+      : owner_(keeper), backend_(std::move(backend)) {
   }
 
-  void open(std::unique_ptr<LaneLink> link, Moment now);
+  void open(std::unique_ptr<DatabaseConnectionLink> link, TimePoint now);
   State state() const {
     return state_;
   }
@@ -79,28 +84,28 @@
   const BackendPointer& backend_pointer() const {
     return backend_;
   }
-  Moment since() const {
+  TimePoint since() const {
     return asked_;
   }  // of the state greeting, preparing or asking
-  LaneUser* user() const {
+  ConnectionUser* user() const {
     return user_;
   }
   // How far its values are from those wanted: 0 the same; over 1000 they must be cleared.
   int distance(const Values& values) const;
 
-  void take(LaneUser& user) {
+  void take(ConnectionUser& user) {
     user_ = &user, state_ = State::held;
   }
   // Brings values and names to those wanted and begins, if `begin` is not empty. True: nothing had
   // to be asked.
-  bool prepare(const Values& values, const Prepared* name, const std::string& begin, Moment now);
-  void ask(const std::string& bytes, Moment now);
+  bool prepare(const Values& values, const Prepared* name, const std::string& begin, TimePoint now);
+  void ask(const std::string& bytes, TimePoint now);
   // The user is done with it. In a transaction or in the middle of something it is brought to rest
   // first.
-  void release(Moment now);
+  void release(TimePoint now);
   void close(Verdict why = Verdict::none);  // breaks it without telling the user
 
-  void take_message(WireMessage&& message, Moment now);
+  void take_message(WireMessage&& message, TimePoint now);
   void take_end() {
     fail(state_ == State::resting ? Verdict::none : Verdict::unknown);
   }
@@ -124,24 +129,24 @@
   };
   void expect(Awaited what, const std::string& text, std::string first = {},
               std::string second = {});
-  void finish(Expected expected, Moment now);
-  void finish_ask(Moment now);
+  void finish(Expected expected, TimePoint now);
+  void finish_ask(TimePoint now);
   void fail(Verdict why);
 
-  Keeper& keeper_;
+  Owner& owner_;
   BackendPointer backend_;
-  std::unique_ptr<LaneLink> link_;
+  std::unique_ptr<DatabaseConnectionLink> link_;
   State state_ = State::greeting;
-  LaneUser* user_ = nullptr;
+  ConnectionUser* user_ = nullptr;
   Values values_;
   std::set<std::string> names_;
   std::deque<Expected> expected_;
   std::string out_;  // gathered until sent at once
-  LaneOutcome outcome_;
+  StatementResult outcome_;
   Verdict prepared_ = Verdict::none;
   char wire_state_ = 'I';
   bool has_ended_ = false;  // DONE or ERROR came; READY is due, and nothing else
-  Moment asked_{};
+  TimePoint asked_{};
 };
 
 }  // namespace saddlewing
--- a/src/coordination/merge.h
+++ b/src/coordination/merge.h
@@ -12,7 +12,7 @@
 class BestRecords {
  public:
   static constexpr std::size_t record_size = 16;
-  explicit BestRecords(std::size_t most) : most_(most) {
+  explicit BestRecords(std::size_t limit) : max_(limit) {
   }
 
   void add(std::string_view body) {
@@ -21,7 +21,7 @@
       if (is_full_ && !(floor_ < record))
         continue;
       kept_.push_back(record);
-      if (kept_.size() >= most_ * 2 + 64)
+      if (kept_.size() >= max_ * 2 + 64)
         cut();
     }
   }
@@ -58,19 +58,19 @@
     std::memcpy(bytes + 8, &low, 8);
   }
   void cut() {
-    if (kept_.size() < most_)
+    if (kept_.size() < max_)
       return;
-    std::nth_element(kept_.begin(), kept_.begin() + static_cast<std::ptrdiff_t>(most_ - 1),
+    std::nth_element(kept_.begin(), kept_.begin() + static_cast<std::ptrdiff_t>(max_ - 1),
                      kept_.end(),
                      [](const Record& left, const Record& right) { return right < left; });
-    kept_.resize(most_);
+    kept_.resize(max_);
     floor_ = kept_.back();
     is_full_ = true;
   }
 
-  std::size_t most_;
+  std::size_t max_;
   std::vector<Record> kept_;
-  Record floor_{};  // of the records kept, once `most_` are there: a smaller one can't come in
+  Record floor_{};  // of the records kept, once `max_` are there: a smaller one can't come in
   bool is_full_ = false;
 };
 
--- a/src/coordination/pool.cpp
+++ b/src/coordination/pool.cpp
@@ -4,150 +4,156 @@
 
 namespace saddlewing {
 
-void Pool::seek(LaneSeeker& seeker, const BackendPointer& backend, int most, Moment now) {
+void DatabaseConnectionPool::seek(ConnectionWaiter& seeker, const BackendPointer& backend,
+                                  int limit, TimePoint now) {
   Row& row = rows_[backend.get()];
-  row.most = std::max(1, most);
-  Lane* best = nullptr;
-  int least = 0;
-  for (auto place = row.lanes.rbegin(); place != row.lanes.rend(); ++place) {
-    Lane& lane = **place;
-    if (lane.state() != Lane::State::resting)
+  row.limit = std::max(1, limit);
+  DatabaseConnection* best = nullptr;
+  int minimum = 0;
+  for (auto position = row.connections.rbegin(); position != row.connections.rend(); ++position) {
+    DatabaseConnection& connection = **position;
+    if (connection.state() != DatabaseConnection::State::resting)
       continue;
-    const int distance = lane.distance(seeker.wanted_values());
-    if (!best || distance < least)
-      best = &lane, least = distance;
+    const int distance = connection.distance(seeker.wanted_values());
+    if (!best || distance < minimum)
+      best = &connection, minimum = distance;
   }
   if (best)
-    return seeker.on_lane(*best, now);
+    return seeker.on_connection(*best, now);
   row.seekers.push_back(&seeker);
-  const auto greeting = std::count_if(row.lanes.begin(), row.lanes.end(), [](const auto& lane) {
-    return lane->state() == Lane::State::greeting;
-  });
-  if (static_cast<int>(row.lanes.size()) < row.most &&
+  const auto greeting =
+      std::count_if(row.connections.begin(), row.connections.end(), [](const auto& connection) {
+        return connection->state() == DatabaseConnection::State::greeting;
+      });
+  if (static_cast<int>(row.connections.size()) < row.limit &&
       static_cast<std::size_t>(greeting) < row.seekers.size())
-    open_lane(row, backend, now);
+    open_connection(row, backend, now);
 }
 
-void Pool::open_lane(Row& row, const BackendPointer& backend, Moment now) {
-  auto fresh = std::make_unique<Lane>(*this, backend);
-  Lane& lane = *fresh;
-  row.lanes.push_back(std::move(fresh));
-  auto link = ground_.open(lane);
+void DatabaseConnectionPool::open_connection(Row& row, const BackendPointer& backend,
+                                             TimePoint now) {
+  auto fresh = std::make_unique<DatabaseConnection>(*this, backend);
+  DatabaseConnection& connection = *fresh;
+  row.connections.push_back(std::move(fresh));
+  auto link = ground_.open(connection);
   if (!link)
-    return lane.take_end();
-  lane.open(std::move(link), now);
+    return connection.take_end();
+  connection.open(std::move(link), now);
 }
 
-void Pool::stop_seeking(LaneSeeker& seeker) {
+void DatabaseConnectionPool::stop_seeking(ConnectionWaiter& seeker) {
   for (auto& [backend, row] : rows_)
     std::erase(row.seekers, &seeker);
 }
 
-void Pool::on_lane_ready(Lane& lane) {
-  const auto found = rows_.find(&lane.backend());
+void DatabaseConnectionPool::on_connection_ready(DatabaseConnection& connection) {
+  const auto found = rows_.find(&connection.backend());
   if (found == rows_.end())
     return;
   Row& row = found->second;
-  const auto place = std::find_if(row.lanes.begin(), row.lanes.end(),
-                                  [&](const auto& kept) { return kept.get() == &lane; });
-  if (place != row.lanes.end())
-    std::rotate(place, place + 1, row.lanes.end());
+  const auto position = std::find_if(row.connections.begin(), row.connections.end(),
+                                     [&](const auto& kept) { return kept.get() == &connection; });
+  if (position != row.connections.end())
+    std::rotate(position, position + 1, row.connections.end());
   if (row.seekers.empty()) {
-    if (lane.backend().is_cancelled)
-      lane.close();
+    if (connection.backend().is_cancelled)
+      connection.close();
     return;
   }
-  LaneSeeker* next = row.seekers.front();
+  ConnectionWaiter* next = row.seekers.front();
   row.seekers.pop_front();
-  next->on_lane(lane, ground_.clock());
+  next->on_connection(connection, ground_.clock());
 }
 
-void Pool::on_lane_broken(Lane& lane, Verdict why) {
-  const auto found = rows_.find(&lane.backend());
+void DatabaseConnectionPool::on_connection_broken(DatabaseConnection& connection, Verdict why) {
+  const auto found = rows_.find(&connection.backend());
   if (found == rows_.end())
     return;
   Row& row = found->second;
-  const auto place = std::find_if(row.lanes.begin(), row.lanes.end(),
-                                  [&](const auto& kept) { return kept.get() == &lane; });
-  if (place == row.lanes.end())
+  const auto position = std::find_if(row.connections.begin(), row.connections.end(),
+                                     [&](const auto& kept) { return kept.get() == &connection; });
+  if (position == row.connections.end())
     return;
-  ground_.bury(std::move(*place));
-  row.lanes.erase(place);
+  ground_.defer_delete(std::move(*position));
+  row.connections.erase(position);
   if (why != Verdict::none && why != Verdict::full)
-    ground_.see_answer(lane.backend(), false);
+    ground_.see_answer(connection.backend(), false);
   if (row.seekers.empty())
     return;
   // Others at work there will come free; with none left, nobody waits for what is not to be had.
-  const bool has_others = std::any_of(row.lanes.begin(), row.lanes.end(), [](const auto& kept) {
-    return kept->state() != Lane::State::broken;
-  });
+  const bool has_others = std::any_of(
+      row.connections.begin(), row.connections.end(),
+      [](const auto& kept) { return kept->state() != DatabaseConnection::State::broken; });
   if (has_others && (why == Verdict::full || why == Verdict::none))
     return;
-  const Moment now = ground_.clock();
-  std::deque<LaneSeeker*> seekers;
+  const TimePoint now = ground_.clock();
+  std::deque<ConnectionWaiter*> seekers;
   seekers.swap(row.seekers);
-  Backend& backend = lane.backend();
-  for (LaneSeeker* seeker : seekers)
-    seeker->on_no_lane(backend, why, now);
+  Backend& backend = connection.backend();
+  for (ConnectionWaiter* seeker : seekers)
+    seeker->on_no_connection(backend, why, now);
 }
 
-void Pool::leave(Backend& backend, bool is_at_once) {
+void DatabaseConnectionPool::leave(Backend& backend, bool is_at_once) {
   const auto found = rows_.find(&backend);
   if (found == rows_.end())
     return;
-  std::vector<Lane*> ending;
-  for (const auto& lane : found->second.lanes)
-    if (is_at_once || lane->state() == Lane::State::resting)
-      ending.push_back(lane.get());
-  for (Lane* lane : ending) {
-    if (lane->user())
-      lane->take_end();
+  std::vector<DatabaseConnection*> ending;
+  for (const auto& connection : found->second.connections)
+    if (is_at_once || connection->state() == DatabaseConnection::State::resting)
+      ending.push_back(connection.get());
+  for (DatabaseConnection* connection : ending) {
+    if (connection->user())
+      connection->take_end();
     else
-      lane->close();
+      connection->close();
   }
 }
 
-std::size_t Pool::at_work(const Backend& backend) const {
+std::size_t DatabaseConnectionPool::at_work(const Backend& backend) const {
   const auto found = rows_.find(&backend);
   if (found == rows_.end())
     return 0;
   return static_cast<std::size_t>(
-      std::count_if(found->second.lanes.begin(), found->second.lanes.end(),
-                    [](const auto& lane) { return lane->user() != nullptr; }));
+      std::count_if(found->second.connections.begin(), found->second.connections.end(),
+                    [](const auto& connection) { return connection->user() != nullptr; }));
 }
 
-void Pool::check_late(Span most_greeting, Span most_preparing, Moment now) {
-  std::vector<Lane*> late;
+void DatabaseConnectionPool::check_late(Duration max_greeting, Duration max_preparing,
+                                        TimePoint now) {
+  std::vector<DatabaseConnection*> late;
   for (const auto& [backend, row] : rows_)
-    for (const auto& lane : row.lanes) {
-      const bool is_late =
-          (lane->state() == Lane::State::greeting && now - lane->since() > most_greeting) ||
-          ((lane->state() == Lane::State::preparing || lane->state() == Lane::State::ending) &&
-           now - lane->since() > most_preparing);
+    for (const auto& connection : row.connections) {
+      const bool is_late = (connection->state() == DatabaseConnection::State::greeting &&
+                            now - connection->since() > max_greeting) ||
+                           ((connection->state() == DatabaseConnection::State::preparing ||
+                             connection->state() == DatabaseConnection::State::ending) &&
+                            now - connection->since() > max_preparing);
       if (is_late)
-        late.push_back(lane.get());
+        late.push_back(connection.get());
     }
-  for (Lane* lane : late)
-    lane->answer_is_late();
+  for (DatabaseConnection* connection : late)
+    connection->answer_is_late();
 }
 
-bool Pool::is_restless() const {
+bool DatabaseConnectionPool::is_restless() const {
   for (const auto& [backend, row] : rows_)
-    for (const auto& lane : row.lanes)
-      if (lane->state() == Lane::State::greeting || lane->state() == Lane::State::preparing ||
-          lane->state() == Lane::State::ending)
+    for (const auto& connection : row.connections)
+      if (connection->state() == DatabaseConnection::State::greeting ||
+          connection->state() == DatabaseConnection::State::preparing ||
+          connection->state() == DatabaseConnection::State::ending)
         return true;
   return false;
 }
 
-std::size_t Pool::count() const {
+std::size_t DatabaseConnectionPool::count() const {
   std::size_t count = 0;
   for (const auto& [backend, row] : rows_)
-    count += row.lanes.size();
+    count += row.connections.size();
   return count;
 }
 
-std::size_t Pool::waiting() const {
+std::size_t DatabaseConnectionPool::waiting() const {
   std::size_t count = 0;
   for (const auto& [backend, row] : rows_)
     count += row.seekers.size();
--- a/src/coordination/registry.cpp
+++ b/src/coordination/registry.cpp
@@ -6,23 +6,23 @@
 namespace saddlewing {
 namespace {
 
-Moment after(Moment now, std::uint64_t milliseconds) {
-  return now + Span(static_cast<std::int64_t>(std::min<std::uint64_t>(milliseconds, 86400000)));
+TimePoint after(TimePoint now, std::uint64_t milliseconds) {
+  return now + Duration(static_cast<std::int64_t>(std::min<std::uint64_t>(milliseconds, 86400000)));
 }
-std::uint64_t left(Moment now, Moment until) {
-  return until > now ? static_cast<std::uint64_t>(span_between(now, until).count()) : 0;
+std::uint64_t left(TimePoint now, TimePoint until) {
+  return until > now ? static_cast<std::uint64_t>(elapsed(now, until).count()) : 0;
 }
 
 }  // namespace
 
-bool RosterBook::merge(const RosterEntry& entry, Moment now) {
-  const auto [place, is_new] = lines_.try_emplace(entry.id);
-  Line& line = place->second;
+bool EndpointTable::merge(const Endpoint& entry, TimePoint now) {
+  const auto [position, is_new] = lines_.try_emplace(entry.id);
+  Line& line = position->second;
   if (is_new) {
     line.entry = entry;
-    line.beaten = now;
+    line.last_heartbeat = now;
     line.warm_until = after(now, entry.warm_left);
-    line.hold_until = after(now, entry.hold_left);
+    line.lease_until = after(now, entry.lease_left);
     if (entry.phase == Phase::gone)
       line.gone_at = now;
     touch(line);
@@ -42,39 +42,39 @@
     line.entry.call_count = entry.call_count;
     line.entry.status = entry.status;
     line.entry.stamp = entry.stamp;
-    line.hold_until = after(now, entry.hold_left);
+    line.lease_until = after(now, entry.lease_left);
   } else if (entry.stamp == line.entry.stamp) {
-    line.hold_until = std::max(line.hold_until, after(now, entry.hold_left));
+    line.lease_until = std::max(line.lease_until, after(now, entry.lease_left));
   }
   if (has_changed)
     touch(line);
   return has_changed;
 }
 
-void RosterBook::forget_gone(Moment now, Span tombstone) {
+void EndpointTable::forget_gone(TimePoint now, Duration tombstone) {
   std::erase_if(lines_, [&](const auto& item) {
     return item.second.entry.phase == Phase::gone && now - item.second.gone_at > tombstone;
   });
 }
 
-RosterEntry RosterBook::travelling(const Line& line, Moment now) const {
-  RosterEntry entry = line.entry;
+Endpoint EndpointTable::travelling(const Line& line, TimePoint now) const {
+  Endpoint entry = line.entry;
   entry.warm_left = left(now, line.warm_until);
-  entry.hold_left = left(now, line.hold_until);
+  entry.lease_left = left(now, line.lease_until);
   return entry;
 }
 
-void Registry::observe(const std::vector<RosterEntry>& listed, Moment now) {
+void ServiceRegistry::observe(const std::vector<Endpoint>& listed, TimePoint now) {
   std::set<std::string> seen;
-  for (const RosterEntry& entry : listed) {
+  for (const Endpoint& entry : listed) {
     seen.insert(entry.id);
     misses_.erase(entry.id);
     const auto found = lines_.find(entry.id);
     if (found == lines_.end()) {  // the first appearance is its register
-      RosterEntry fresh = entry;
+      Endpoint fresh = entry;
       fresh.status = entry.phase == Phase::ready ? Status::starting : Status::out_of_service;
       fresh.stamp = ++stamp_;
-      fresh.hold_left = static_cast<std::uint64_t>(options_.hold.count());
+      fresh.lease_left = static_cast<std::uint64_t>(options_.lease.count());
       merge(fresh, now);
     } else if (entry.phase > found->second.entry.phase) {  // its showing as emptying is its cancel
       found->second.entry.phase = entry.phase;
@@ -94,23 +94,23 @@
   is_filled_ = true;
 }
 
-void Registry::renew(const std::string& id, Moment now) {
+void ServiceRegistry::renew(const std::string& id, TimePoint now) {
   const auto found = lines_.find(id);
   if (found == lines_.end() || found->second.entry.phase != Phase::ready)
     return;
   Line& line = found->second;
-  line.hold_until = now + options_.hold;
+  line.lease_until = now + options_.lease;
   renewed_.insert(id);
   if (line.entry.status == Status::starting || line.entry.status == Status::down)
     set_status(line, Status::up);
 }
 
-void Registry::sign(const RosterEntry& entry, Moment now) {
+void ServiceRegistry::sign(const Endpoint& entry, TimePoint now) {
   is_filled_ = true;
-  RosterEntry told = entry;
+  Endpoint told = entry;
   told.status = told.phase == Phase::ready ? Status::up : Status::out_of_service;
   told.stamp = told.call_count * 2;  // a sweep's DOWN stands between this call and the next
-  told.hold_left = static_cast<std::uint64_t>(options_.hold.count());
+  told.lease_left = static_cast<std::uint64_t>(options_.lease.count());
   const auto found = lines_.find(entry.id);
   if (found != lines_.end() && told.phase != Phase::gone &&
       told.call_count <= found->second.entry.call_count)
@@ -121,22 +121,22 @@
     line.entry.status = Status::out_of_service;
     touch(line);
   }
-  line.beaten = now;
+  line.last_heartbeat = now;
   renewed_.insert(entry.id);
   signed_.insert(entry.id);
 }
 
-void Registry::renew_signed(const RenewedIds::Item& item, Moment now) {
+void ServiceRegistry::renew_signed(const RenewedIds::Item& item, TimePoint now) {
   const auto found = lines_.find(item.id);
   if (found == lines_.end() || item.call_count <= found->second.entry.call_count)
     return;
   Line& line = found->second;
-  const Moment when =
-      now - Span(static_cast<std::int64_t>(std::min<std::uint64_t>(item.age, 60000)));
+  const TimePoint when =
+      now - Duration(static_cast<std::int64_t>(std::min<std::uint64_t>(item.age, 60000)));
   line.entry.call_count = item.call_count;
   line.entry.stamp = std::max(line.entry.stamp, item.call_count * 2);
-  line.beaten = std::max(line.beaten, when);
-  line.hold_until = std::max(line.hold_until, when + options_.hold);
+  line.last_heartbeat = std::max(line.last_heartbeat, when);
+  line.lease_until = std::max(line.lease_until, when + options_.lease);
   renewed_.insert(item.id);
   const bool is_back = line.entry.phase == Phase::ready && line.entry.status == Status::down;
   if (is_back)
@@ -147,19 +147,19 @@
       item.is_leader;  // with its count: else a role told in between would be passed over
 }
 
-RenewedIds Registry::take_renewed(Moment now) {
+RenewedIds ServiceRegistry::take_renewed(TimePoint now) {
   RenewedIds renewed;
   for (const std::string& id : std::exchange(signed_, {}))
     if (const auto found = lines_.find(id);
         found != lines_.end() && found->second.entry.phase == Phase::ready)
       renewed.items.push_back({id, found->second.entry.call_count,
                                static_cast<std::uint64_t>(std::max<std::int64_t>(
-                                   0, span_between(found->second.beaten, now).count())),
+                                   0, elapsed(found->second.last_heartbeat, now).count())),
                                found->second.entry.is_leader});
   return renewed;
 }
 
-void Registry::sweep(Moment now) {
+void ServiceRegistry::sweep(TimePoint now) {
   if (now - period_start_ >= options_.renewal) {
     renewed_before_ = std::move(renewed_);
     renewed_.clear();
@@ -182,7 +182,7 @@
   if (is_evicting_)
     for (auto& [id, line] : lines_)
       if (line.entry.phase == Phase::ready && line.entry.status == Status::up &&
-          named_.contains(line.entry.service) && line.hold_until <= now) {
+          named_.contains(line.entry.service) && line.lease_until <= now) {
         if (options_.is_signing_up) {
           line.entry.status = Status::down;
           line.entry.stamp = line.entry.call_count * 2 + 1;
@@ -195,7 +195,7 @@
   forget_gone(now, options_.tombstone);
 }
 
-std::vector<ProbeTarget> Registry::targets() const {
+std::vector<ProbeTarget> ServiceRegistry::targets() const {
   std::vector<ProbeTarget> targets;
   for (const auto& [id, line] : lines_)
     if (line.entry.phase == Phase::ready && named_.contains(line.entry.service))
@@ -204,24 +204,24 @@
   return targets;
 }
 
-Roster Registry::since(std::uint64_t mark, Moment now) const {
-  Roster roster;
-  roster.is_whole = mark == 0;
-  roster.is_filled = is_filled_;
-  roster.base = mark;
-  roster.mark = mark_;
+EndpointList ServiceRegistry::since(std::uint64_t revision, TimePoint now) const {
+  EndpointList endpoints;
+  endpoints.is_complete = revision == 0;
+  endpoints.is_filled = is_filled_;
+  endpoints.base = revision;
+  endpoints.revision = revision_;
   for (const auto& [id, line] : lines_)
-    if (line.mark > mark)
-      roster.entries.push_back(travelling(line, now));
-  return roster;
+    if (line.revision > revision)
+      endpoints.entries.push_back(travelling(line, now));
+  return endpoints;
 }
 
-void Registry::take(const Roster& roster, Moment now) {
-  for (const RosterEntry& entry : roster.entries) {
+void ServiceRegistry::take(const EndpointList& endpoints, TimePoint now) {
+  for (const Endpoint& entry : endpoints.entries) {
     merge(entry, now);
     stamp_ = std::max(stamp_, entry.stamp);
   }
-  if (roster.is_whole && roster.is_filled)
+  if (endpoints.is_complete && endpoints.is_filled)
     is_filled_ = true;
 }
 
--- a/src/coordination/ring_gate.h
+++ b/src/coordination/ring_gate.h
@@ -11,7 +11,7 @@
 
 // The ring of one moment. Immutable, swapped whole.
 struct RingView {
-  std::uint64_t mark = 0;
+  std::uint64_t revision = 0;
   RingMap map;
   std::set<RingUnit> closing;  // their writes wait
   // By an index into the map's nodes: what a node is told of the one unit that it gives or
@@ -33,12 +33,12 @@
 };
 using RingSnapshot = std::shared_ptr<const RingView>;
 // Null if the sheet is not readable.
-inline RingSnapshot view_ring(const RingSheet& sheet) {
+inline RingSnapshot view_ring(const RingDocument& document) {
   auto view = std::make_shared<RingView>();
   std::vector<RingMove> moves;
-  if (ring_of(sheet, view->map) || !decode_moves(sheet.moves, moves))
+  if (ring_of(document, view->map) || !decode_moves(document.moves, moves))
     return nullptr;
-  view->mark = sheet.mark;
+  view->revision = document.revision;
   for (const RingMove& move : moves) {
     if (move.is_closed())
       view->closing.insert(move.unit);
@@ -54,7 +54,7 @@
 // Invariant: nothing goes to a node but by the newest view, under a lease; a write never while its
 // unit is closing. A view is confirmed only when no write is under way that it would not have sent
 // there.
-class RingGate {
+class RingRouter {
  public:
   enum class Way {
     pass,
@@ -62,13 +62,13 @@
     come_back
   };
   void take(RingSnapshot view) {
-    if (view && (!view_ || view->mark > view_->mark))
+    if (view && (!view_ || view->revision > view_->revision))
       view_ = std::move(view);
   }
-  void set_lease(Moment until) {
+  void set_lease(TimePoint until) {
     lease_until_ = std::max(lease_until_, until);
   }
-  bool is_leased(Moment now) const {
+  bool is_leased(TimePoint now) const {
     return now < lease_until_;
   }
   const RingSnapshot& view() const {
@@ -76,7 +76,7 @@
   }
   // A broker that was not heard may act by a view that others left long ago: then not even reads
   // are right.
-  Way decide(std::string_view key, bool is_harmless, Moment now) const {
+  Way decide(std::string_view key, bool is_harmless, TimePoint now) const {
     if (!is_leased(now))
       return Way::come_back;
     return is_harmless || !view_->is_closed(key) ? Way::pass : Way::wait;
@@ -96,12 +96,12 @@
     for (const auto& [work, count] : at_work_)
       if (view_->is_closed(work.first) || view_->map.owner_of(work.first) != work.second)
         return confirmed_;
-    return confirmed_ = view_->mark;
+    return confirmed_ = view_->revision;
   }
 
  private:
   RingSnapshot view_;
-  Moment lease_until_{};
+  TimePoint lease_until_{};
   std::uint64_t confirmed_ = 0;
   std::map<std::pair<std::string, std::uint32_t>, int> at_work_;  // by key and owner
 };
--- a/src/coordination/ring_moves.cpp
+++ b/src/coordination/ring_moves.cpp
@@ -9,9 +9,9 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::size_t most_ended = 32;  // moves that are over and still shown
-constexpr std::size_t most_open = 256;  // planned ones included
-constexpr double most_benefit = 1e9;
+constexpr std::size_t max_ended = 32;  // moves that are over and still shown
+constexpr std::size_t max_open = 256;  // planned ones included
+constexpr double max_benefit = 1e9;
 constexpr std::uint64_t moves_form = 2;  // behind a 0, which no move has as its number
 
 bool shares_node(const RingMove& one, const RingMove& other) {
@@ -42,7 +42,7 @@
         .text(move.from)
         .text(move.to);
     writer.number(static_cast<std::uint64_t>(move.step))
-        .number(move.mark)
+        .number(move.revision)
         .number(static_cast<std::uint64_t>(std::llround(move.benefit * 1000)));
   }
   return writer.take();
@@ -55,7 +55,7 @@
   const bool is_first_form = id != 0;  // written before accounts moved
   if (!is_first_form && reader.number() != moves_form)
     return false;
-  if (!is_first_form && !reader.is_whole())
+  if (!is_first_form && !reader.is_complete())
     id = reader.number();
   else if (!is_first_form)
     return true;
@@ -70,22 +70,22 @@
     move.from = reader.text();
     move.to = reader.text();
     const std::uint64_t step = reader.number();
-    move.mark = reader.number();
+    move.revision = reader.number();
     if (!is_first_form)
       move.benefit = static_cast<double>(reader.number()) / 1000;
     if (!reader.is_good() || step > static_cast<std::uint64_t>(RingMove::Step::opened))
       return false;
     move.step = static_cast<RingMove::Step>(step);
     moves.push_back(std::move(move));
-    if (reader.is_whole())
+    if (reader.is_complete())
       return true;
     id = reader.number();
   }
 }
 
 // What the taker has and what other open moves will bring it must leave room.
-std::string RingMoves::find_room(const RingUnit& unit, std::size_t taker, const RingMap& ring,
-                                 std::uint64_t but) const {
+std::string ShardMigration::find_room(const RingUnit& unit, std::size_t taker, const RingMap& ring,
+                                      std::uint64_t but) const {
   auto [memory, disk] = ring.used_of(taker);
   const auto add = [&](const RingMove& move) {
     if (!move.is_open() || move.to != ring.nodes[taker].name || (move.id && move.id == but) ||
@@ -106,9 +106,9 @@
   return {};
 }
 
-std::string RingMoves::request(RingUnit unit, const std::string& to, const RingMap& ring,
-                               const std::set<std::string>& serving, bool may_wait,
-                               double benefit) {
+std::string ShardMigration::request(RingUnit unit, const std::string& to, const RingMap& ring,
+                                    const std::set<std::string>& serving, bool may_wait,
+                                    double benefit) {
   if (unit.is_account()) {
     if (!is_account_form(unit.account))
       return "that is no account";
@@ -126,7 +126,7 @@
                         to,
                         RingMove::Step::planned,
                         0,
-                        may_wait ? std::min(benefit, most_benefit) : most_benefit};
+                        may_wait ? std::min(benefit, max_benefit) : max_benefit};
   if (wanted.from == to)
     return to + " owns it already";
   for (const std::string& node : {wanted.from, to})
@@ -148,9 +148,9 @@
     return "it is on the move already";
   if (is_busy && !may_wait)
     return "another move is under way on one of its nodes; `ring queue` waits for it";
-  if (open >= most_open)
+  if (open >= max_open)
     return "too many moves are planned";
-  if (unit.is_account() && !ring.placed.contains(unit.account) && placed >= most_placed)
+  if (unit.is_account() && !ring.placed.contains(unit.account) && placed >= max_placed)
     return "the table of placed accounts is full";
   if (std::string reason = find_room(unit, taker, ring, 0); !reason.empty())
     return reason;
@@ -158,7 +158,7 @@
   return {};
 }
 
-std::string RingMoves::undo(std::uint64_t id) {
+std::string ShardMigration::undo(std::uint64_t id) {
   const auto found = std::find_if(moves_.begin(), moves_.end(),
                                   [&](const RingMove& move) { return move.id == id; });
   if (found == moves_.end())
@@ -171,9 +171,9 @@
   return {};
 }
 
-void RingMoves::set_step(RingMove& move, RingMove::Step step, const std::string& reason) {
+void ShardMigration::set_step(RingMove& move, RingMove::Step step, const std::string& reason) {
   move.step = step;
-  move.mark = mark_ + 1;
+  move.revision = revision_ + 1;
   has_changed_ = true;
   works_[move.id].why = reason;
   output_.news.push_back("move " + std::to_string(move.id) + " of " + move.unit.text() + " from " +
@@ -182,8 +182,8 @@
 }
 
 // True once the node has said that it did it.
-bool RingMoves::order(const RingMove& move, const std::string& node, const std::string& what,
-                      double mb_s, Moment now) {
+bool ShardMigration::order(const RingMove& move, const std::string& node, const std::string& what,
+                           double mb_s, TimePoint now) {
   Work& work = works_[move.id];
   const std::string key = what + " " + node;
   if (work.done.contains(key))
@@ -191,24 +191,24 @@
   if (now < work.due)
     return false;
   work.due = now + options_.ask_again;
-  pending_[++last_token_] = {move.id, move.mark, what, node, key};
+  pending_[++last_token_] = {move.id, move.revision, what, node, key};
   const bool is_placed =
       move.unit.is_account() && ring_->nodes[ring_->owners[move.unit.virtual_node]].name != node;
   output_.orders.push_back({last_token_, move.id, node, what, move.unit,
-                            node == move.from ? move.to : move.from, move.mark,
+                            node == move.from ? move.to : move.from, move.revision,
                             work.position.value_or(0), mb_s, is_placed});
   return false;
 }
 
 // Whether somebody may still act by a sheet before this step's.
-bool RingMoves::is_awaited(const RingMove& move, Moment now) {
-  if (!holders_.is_held(move.mark, now))
+bool ShardMigration::is_awaited(const RingMove& move, TimePoint now) {
+  if (!leases_.is_held(move.revision, now))
     return false;
   works_[move.id].why = "waits for brokers that have not confirmed it, or for their leases to end";
   return true;
 }
 
-void RingMoves::advance_planned(RingMove& move, const RingMap& ring, Moment now) {
+void ShardMigration::advance_planned(RingMove& move, const RingMap& ring, TimePoint now) {
   Work& work = works_[move.id];
   if (move.unit.virtual_node >= ring.owners.size() || ring.index_of(move.to) == ring.nodes.size())
     return set_step(move, RingMove::Step::undone, "the ring has changed");
@@ -240,11 +240,11 @@
     set_step(move, RingMove::Step::copying);
 }
 
-void RingMoves::advance(RingMove& move, const RingMap& ring, Moment now) {
+void ShardMigration::advance(RingMove& move, const RingMap& ring, TimePoint now) {
   Work& work = works_[move.id];
-  if (work.is_fresh || work.mark != move.mark) {
+  if (work.is_fresh || work.revision != move.revision) {
     Work fresh;
-    fresh.mark = move.mark, fresh.since = now, fresh.share = work.share,
+    fresh.revision = move.revision, fresh.since = now, fresh.share = work.share,
     fresh.position = work.position, fresh.is_fresh = false;
     if (!move.is_open())
       fresh.why = work.why, fresh.is_ended = true;
@@ -269,14 +269,14 @@
           order(move, move.to, "copy", is_paused_ ? 0 : pace * options_.pace_share, now);
       if (is_paused_)
         work.why = "paused: short lookups miss their aims";
-      else if (is_copied && now - work.since < options_.longest_gather)
+      else if (is_copied && now - work.since < options_.max_gather_duration)
         work.why = "until gathers that began before it have ended";
       else if (is_copied)
         set_step(move, Step::closing);
       return;
     }
     case Step::closing:
-      if (now - work.since > options_.most_closing + options_.lease)
+      if (now - work.since > options_.max_closing + options_.lease)
         return set_step(move, Step::copying, "closing took too long");
       if (is_awaited(move, now))
         return;
@@ -291,7 +291,7 @@
       return;
     case Step::opened:
       work.why = "until the last read that may still come to " + move.from;
-      if (now - work.since >= options_.longest_read && order(move, move.from, "drop", 0, now))
+      if (now - work.since >= options_.max_read_duration && order(move, move.from, "drop", 0, now))
         set_step(move, Step::settled);
       return;
     case Step::settled:
@@ -303,10 +303,10 @@
   }
 }
 
-void RingMoves::tick(bool is_leading, const RingSheet& sheet, const RingMap& ring,
-                     bool are_lookups_well, Moment now) {
+void ShardMigration::tick(bool is_leading, const RingDocument& document, const RingMap& ring,
+                          bool are_lookups_well, TimePoint now) {
   if (is_leading && !is_leading_) {
-    holders_.reset(now);
+    leases_.reset(now);
     works_.clear();
     pending_.clear();
     wanted_.clear();
@@ -315,11 +315,11 @@
   }
   is_leading_ = is_leading;
   ring_ = &ring;
-  holders_.forget(now);
+  leases_.forget(now);
   if (is_proposing_)
     return;
-  mark_ = sheet.mark;
-  decode_moves(sheet.moves, moves_);
+  revision_ = document.revision;
+  decode_moves(document.moves, moves_);
   if (!is_leading)
     return;
   is_paused_ = !are_lookups_well;
@@ -348,17 +348,17 @@
     return;
   while (static_cast<std::size_t>(std::count_if(
              moves_.begin(), moves_.end(), [](const RingMove& move) { return !move.is_open(); })) >
-         most_ended)
+         max_ended)
     moves_.erase(std::find_if(moves_.begin(), moves_.end(),
                               [](const RingMove& move) { return !move.is_open(); }));
   std::erase_if(works_, [&](const auto& work) {
     return std::none_of(moves_.begin(), moves_.end(),
                         [&](const RingMove& move) { return move.id == work.first; });
   });
-  RingSheet next = sheet;
-  next.mark = mark_ + 1;
+  RingDocument next = document;
+  next.revision = revision_ + 1;
   for (const RingMove& move : moves_) {
-    if (move.step != RingMove::Step::switched || move.mark != next.mark)
+    if (move.step != RingMove::Step::switched || move.revision != next.revision)
       continue;
     if (!move.unit.is_account())
       next.moved[move.unit.virtual_node] = move.to;
@@ -372,23 +372,23 @@
   output_.proposal = std::move(next);
 }
 
-void RingMoves::finish_order(std::uint64_t token, const NodeAnswer& answer) {
+void ShardMigration::finish_order(std::uint64_t token, const NodeAnswer& answer) {
   const auto found = pending_.find(token);
   if (found == pending_.end())
     return;
   const Pending pending = std::move(found->second);
   pending_.erase(found);
-  const auto place = works_.find(pending.move);
-  if (place == works_.end() || place->second.mark != pending.mark)
+  const auto position = works_.find(pending.move);
+  if (position == works_.end() || position->second.revision != pending.revision)
     return;
-  Work& work = place->second;
+  Work& work = position->second;
   if (!work.is_ended)
     work.why.clear();
-  if (answer.kind != NodeAnswer::Kind::told) {
+  if (answer.type != NodeAnswer::Type::told) {
     if (!work.is_ended)
       work.why = pending.node +
-                 (answer.kind == NodeAnswer::Kind::silent    ? " does not answer to "
-                  : answer.kind == NodeAnswer::Kind::refused ? " refuses "
+                 (answer.type == NodeAnswer::Type::silent    ? " does not answer to "
+                  : answer.type == NodeAnswer::Type::refused ? " refuses "
                                                              : " answers with garbage to ") +
                  pending.what;
     return;
@@ -413,17 +413,17 @@
   work.due = {};
 }
 
-double RingMoves::progress(std::uint64_t id) const {
+double ShardMigration::progress(std::uint64_t id) const {
   const auto found = works_.find(id);
   return found == works_.end() ? 0 : found->second.share;
 }
 
-std::string RingMoves::why(std::uint64_t id) const {
+std::string ShardMigration::why(std::uint64_t id) const {
   const auto found = works_.find(id);
   return found == works_.end() ? std::string() : found->second.why;
 }
 
-RingMoves::Output RingMoves::take() {
+ShardMigration::Output ShardMigration::take() {
   return std::exchange(output_, {});
 }
 
--- a/src/coordination/ring_moves.h
+++ b/src/coordination/ring_moves.h
@@ -35,8 +35,8 @@
   RingUnit unit;
   std::string from, to;
   Step step = Step::planned;
-  std::uint64_t mark = 0;  // of the sheet that brought the step
-  double benefit = 0;      // of those planned the greatest goes first
+  std::uint64_t revision = 0;  // of the sheet that brought the step
+  double benefit = 0;          // of those planned the greatest goes first
   bool is_open() const {
     return step != Step::settled && step != Step::undone;
   }
@@ -54,31 +54,33 @@
 bool decode_moves(const std::string& bytes, std::vector<RingMove>& moves);
 
 struct MoveOptions {
-  Span lease{3000}, settle{4000};
-  Span ask_again{400};
-  Span most_closing{3000};   // longer, and the move goes back to copying: nobody waits without end
-  Span longest_read{10000};  // no read of the ring's route that began earlier is still on its way
-  Span longest_gather{0};    // nor a gather over its nodes; 0: there is none
-  double pace_share = 0.5;   // of the slower end's disk and link
+  Duration lease{3000}, settle{4000};
+  Duration ask_again{400};
+  Duration max_closing{
+      3000};  // longer, and the move goes back to copying: nobody waits without end
+  Duration max_read_duration{
+      10000};  // no read of the ring's route that began earlier is still on its way
+  Duration max_gather_duration{0};  // nor a gather over its nodes; 0: there is none
+  double pace_share = 0.5;          // of the slower end's disk and link
   WatchOptions watch;
 };
 
 // What a node said to an order.
 struct NodeAnswer {
-  enum class Kind {
+  enum class Type {
     silent,
     garbled,
     refused,
     told
   };
-  Kind kind = Kind::silent;
+  Type type = Type::silent;
   bool is_done = false;
   double share = 0;
   int interface = 0;
   std::optional<std::uint64_t> position;  // of the last write it has of the unit
 };
 
-class RingMoves {
+class ShardMigration {
  public:
   // What a node is asked. Each may come again and must be harmless then.
   //   describe  nothing; the answer tells which version of the interface the node speaks
@@ -94,7 +96,7 @@
     std::string node, what;
     RingUnit unit;
     std::string other;  // the other end
-    std::uint64_t mark =
+    std::uint64_t revision =
         0;  // of the sheet that the order follows from; a node passes over what is older
     std::uint64_t position = 0;
     double mb_s = 0;
@@ -103,12 +105,12 @@
   };
   struct Output {
     std::vector<Order> orders;
-    std::optional<RingSheet> proposal;
+    std::optional<RingDocument> proposal;
     std::vector<std::string> news;
   };
 
-  explicit RingMoves(MoveOptions options)
-      : options_(options), holders_(options.lease, options.settle) {
+  explicit ShardMigration(MoveOptions options)
+      : options_(options), leases_(options.lease, options.settle) {
   }
   // The reason if it is refused; empty: it is planned with the next tick. `serving`: nodes with a
   // backend that is UP. `may_wait`: behind other moves of its nodes.
@@ -117,15 +119,15 @@
                       double benefit = 0);
   std::string undo(std::uint64_t id);
   // `are_lookups_well`: short lookups meet their aims.
-  void tick(bool is_leading, const RingSheet& sheet, const RingMap& ring, bool are_lookups_well,
-            Moment now);
+  void tick(bool is_leading, const RingDocument& document, const RingMap& ring,
+            bool are_lookups_well, TimePoint now);
   void finish_order(std::uint64_t token, const NodeAnswer& answer);
   void finish_proposal() {
     is_proposing_ = false;
   }
   Output take();
-  Holders& holders() {
-    return holders_;
+  LeaseTable& leases() {
+    return leases_;
   }
   const std::vector<RingMove>& moves() const {
     return moves_;
@@ -136,14 +138,14 @@
   bool is_paused() const {
     return is_paused_;
   }
-  void set_longest(Span read, Span gather) {
-    options_.longest_read = read, options_.longest_gather = gather;
+  void set_max_read_duration(Duration read, Duration gather) {
+    options_.max_read_duration = read, options_.max_gather_duration = gather;
   }
 
  private:
   struct Work {  // of one move; asked anew by whoever leads next
-    std::uint64_t mark = 0;
-    Moment since{}, due{};
+    std::uint64_t revision = 0;
+    TimePoint since{}, due{};
     std::set<std::string> done;  // orders that were
     double share = 0;
     std::optional<std::uint64_t> position;  // the giver's last one
@@ -153,28 +155,28 @@
                             // version of the interface
   };
   struct Pending {
-    std::uint64_t move, mark;  // an answer to an earlier step's order is no answer
+    std::uint64_t move, revision;  // an answer to an earlier step's order is no answer
     std::string what, node, key;
   };
-  void advance(RingMove& move, const RingMap& ring, Moment now);
-  void advance_planned(RingMove& move, const RingMap& ring, Moment now);
+  void advance(RingMove& move, const RingMap& ring, TimePoint now);
+  void advance_planned(RingMove& move, const RingMap& ring, TimePoint now);
   bool order(const RingMove& move, const std::string& node, const std::string& what, double mb_s,
-             Moment now);
-  bool is_awaited(const RingMove& move, Moment now);
+             TimePoint now);
+  bool is_awaited(const RingMove& move, TimePoint now);
   void set_step(RingMove& move, RingMove::Step step, const std::string& reason = {});
   std::string find_room(const RingUnit& unit, std::size_t taker, const RingMap& ring,
                         std::uint64_t but) const;
 
   MoveOptions options_;
   const RingMap* ring_ = nullptr;  // of the tick under way
-  Holders holders_;
+  LeaseTable leases_;
   bool is_leading_ = false, is_proposing_ = false, is_paused_ = false, has_changed_ = false;
   std::vector<RingMove> moves_;   // as agreed, with what is to be proposed
   std::vector<RingMove> wanted_;  // requested, not proposed yet
   std::set<std::uint64_t> undone_;
   std::map<std::uint64_t, Work> works_;
   std::map<std::uint64_t, Pending> pending_;
-  std::uint64_t last_token_ = 0, mark_ = 0;
+  std::uint64_t last_token_ = 0, revision_ = 0;
   Output output_;
 };
 
--- a/src/coordination/ring_watch.cpp
+++ b/src/coordination/ring_watch.cpp
@@ -10,7 +10,7 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::size_t most_told = 512, most_accounts_told = 32;
+constexpr std::size_t max_told = 512, max_accounts_told = 32;
 
 std::string percent(double share) {
   char text[32];
@@ -20,62 +20,63 @@
 
 }  // namespace
 
-Fault check_ring_file(const std::string& file, const Configuration& configuration, RingMap& ring) {
+Error check_ring_file(const std::string& file, const Configuration& configuration, RingMap& ring) {
   RingMap read;
-  if (Fault found = read_ring(file, read))
+  if (Error found = read_ring(file, read))
     return found;
-  const auto rule = std::find_if(configuration.rules.begin(), configuration.rules.end(),
-                                 [&](const Rule& one) { return one.name == read.rule; });
-  if (rule == configuration.rules.end() || rule->shares.empty())
-    return fault(Kind::invalid, "rule " + read.rule + " is no rule with a service or shares");
+  const auto route = std::find_if(configuration.routes.begin(), configuration.routes.end(),
+                                  [&](const Route& one) { return one.name == read.route; });
+  if (route == configuration.routes.end() || route->shares.empty())
+    return make_error(ErrorCode::invalid,
+                      "rule " + read.route + " is no rule with a service or shares");
   for (const RingNode& node : read.nodes) {
     const bool is_allowed =
-        std::any_of(rule->shares.begin(), rule->shares.end(), [&](const Share& share) {
+        std::any_of(route->shares.begin(), route->shares.end(), [&](const Share& share) {
           return share.weight > 0 && configuration.services[share.service.value].name == node.name;
         });
     if (!is_allowed)
-      return fault(Kind::invalid,
-                   "nodes " + node.name + ": rule " + read.rule + " does not allow it");
+      return make_error(ErrorCode::invalid,
+                        "nodes " + node.name + ": rule " + read.route + " does not allow it");
   }
   ring = std::move(read);
   return {};
 }
 
-double RingLoads::fading(Moment since, Moment now) const {
+double RingLoads::fading(TimePoint since, TimePoint now) const {
   const double age = std::chrono::duration<double, std::milli>(now - since).count();
   return std::exp2(-age / static_cast<double>(half_life_.count()));
 }
 
-void RingLoads::add(VirtualNode virtual_node, const RingLoad& load, Moment now) {
+void RingLoads::add(VirtualNode virtual_node, const RingLoad& load, TimePoint now) {
   if (virtual_node >= 65536)
     return;
   if (rows_.size() <= virtual_node)
     rows_.resize(virtual_node + 1);
   auto& [sum, when] = rows_[virtual_node];
-  const double kept = when == Moment{} ? 0 : fading(when, now);
-  sum = {sum.askings * kept, sum.busy_ms * kept, sum.bytes * kept};
+  const double kept = when == TimePoint{} ? 0 : fading(when, now);
+  sum = {sum.attempts * kept, sum.busy_ms * kept, sum.bytes * kept};
   sum += load;
   when = now;
 }
 
-std::vector<RingLoad> RingLoads::sums(std::size_t count, Moment now) const {
+std::vector<RingLoad> RingLoads::sums(std::size_t count, TimePoint now) const {
   std::vector<RingLoad> sums(count);
-  for (std::size_t place = 0; place < std::min(count, rows_.size()); ++place) {
-    const auto& [sum, when] = rows_[place];
-    const double kept = when == Moment{} ? 0 : fading(when, now);
-    sums[place] = {sum.askings * kept, sum.busy_ms * kept, sum.bytes * kept};
+  for (std::size_t position = 0; position < std::min(count, rows_.size()); ++position) {
+    const auto& [sum, when] = rows_[position];
+    const double kept = when == TimePoint{} ? 0 : fading(when, now);
+    sums[position] = {sum.attempts * kept, sum.busy_ms * kept, sum.bytes * kept};
   }
   return sums;
 }
 
 std::string encode_loads(const std::vector<std::pair<VirtualNode, RingLoad>>& loads) {
   Writer writer;
-  std::size_t left = most_told;
+  std::size_t left = max_told;
   for (const auto& [virtual_node, load] : loads) {
     if (left-- == 0)
       break;
     writer.number(virtual_node)
-        .number(static_cast<std::uint64_t>(load.askings))
+        .number(static_cast<std::uint64_t>(load.attempts))
         .number(static_cast<std::uint64_t>(load.busy_ms * 1000));
     writer.number(static_cast<std::uint64_t>(load.bytes));
   }
@@ -84,10 +85,10 @@
 
 bool decode_loads(const std::string& bytes, std::vector<std::pair<VirtualNode, RingLoad>>& loads) {
   ByteReader reader(bytes);
-  while (reader.is_good() && !reader.is_whole()) {
+  while (reader.is_good() && !reader.is_complete()) {
     const auto virtual_node = static_cast<VirtualNode>(reader.number());
     RingLoad load;
-    load.askings = static_cast<double>(reader.number());
+    load.attempts = static_cast<double>(reader.number());
     load.busy_ms = static_cast<double>(reader.number()) / 1000;
     load.bytes = static_cast<double>(reader.number());
     if (reader.is_good())
@@ -96,30 +97,30 @@
   return reader.is_good();
 }
 
-double AccountLoads::fading(Moment since, Moment now) const {
+double AccountLoads::fading(TimePoint since, TimePoint now) const {
   return std::exp2(-std::chrono::duration<double, std::milli>(now - since).count() /
                    static_cast<double>(half_life_.count()));
 }
 
-void AccountLoads::add(const std::string& account, const RingLoad& load, Moment now) {
+void AccountLoads::add(const std::string& account, const RingLoad& load, TimePoint now) {
   auto& [sum, when] = rows_[account];
-  const double kept = when == Moment{} ? 0 : fading(when, now);
-  sum = {sum.askings * kept, sum.busy_ms * kept, sum.bytes * kept};
+  const double kept = when == TimePoint{} ? 0 : fading(when, now);
+  sum = {sum.attempts * kept, sum.busy_ms * kept, sum.bytes * kept};
   sum += load;
   when = now;
-  if (rows_.size() <= most_ * 2)
+  if (rows_.size() <= max_ * 2)
     return;
   const auto busiest = sums(now);
-  for (std::size_t place = most_; place < busiest.size(); ++place)
-    rows_.erase(busiest[place].first);
+  for (std::size_t position = max_; position < busiest.size(); ++position)
+    rows_.erase(busiest[position].first);
 }
 
-std::vector<std::pair<std::string, RingLoad>> AccountLoads::sums(Moment now) const {
+std::vector<std::pair<std::string, RingLoad>> AccountLoads::sums(TimePoint now) const {
   std::vector<std::pair<std::string, RingLoad>> sums;
   for (const auto& [account, row] : rows_) {
     const double kept = fading(row.second, now);
     sums.push_back(
-        {account, {row.first.askings * kept, row.first.busy_ms * kept, row.first.bytes * kept}});
+        {account, {row.first.attempts * kept, row.first.busy_ms * kept, row.first.bytes * kept}});
   }
   std::sort(sums.begin(), sums.end(), [](const auto& left, const auto& right) {
     return std::pair(-left.second.busy_ms, left.first) <
@@ -130,12 +131,12 @@
 
 std::string encode_account_loads(const std::vector<std::pair<std::string, RingLoad>>& loads) {
   Writer writer;
-  std::size_t left = most_accounts_told;
+  std::size_t left = max_accounts_told;
   for (const auto& [account, load] : loads) {
     if (left-- == 0)
       break;
     writer.text(account)
-        .number(static_cast<std::uint64_t>(load.askings))
+        .number(static_cast<std::uint64_t>(load.attempts))
         .number(static_cast<std::uint64_t>(load.busy_ms * 1000));
     writer.number(static_cast<std::uint64_t>(load.bytes));
   }
@@ -145,10 +146,10 @@
 bool decode_account_loads(const std::string& bytes,
                           std::vector<std::pair<std::string, RingLoad>>& loads) {
   ByteReader reader(bytes);
-  while (reader.is_good() && !reader.is_whole()) {
+  while (reader.is_good() && !reader.is_complete()) {
     std::string account = reader.text();
     RingLoad load;
-    load.askings = static_cast<double>(reader.number());
+    load.attempts = static_cast<double>(reader.number());
     load.busy_ms = static_cast<double>(reader.number()) / 1000;
     load.bytes = static_cast<double>(reader.number());
     if (reader.is_good() && is_account_form(account))
@@ -174,14 +175,14 @@
   return ring.size_of(unit).second * distance / pace;
 }
 
-RingReport RingWatch::report(const RingMap& ring, const std::vector<RingLoad>& loads,
-                             const std::vector<std::pair<std::string, RingLoad>>& accounts) {
+RingReport RingLoadMonitor::report(const RingMap& ring, const std::vector<RingLoad>& loads,
+                                   const std::vector<std::pair<std::string, RingLoad>>& accounts) {
   RingReport report;
   report.virtual_nodes = loads;
   report.accounts = accounts;
   const std::size_t count = ring.nodes.size();
   std::vector<double> busy(count);
-  double weights = 0, sum = 0, askings = 0;
+  double weights = 0, sum = 0, attempts = 0;
   for (const RingNode& node : ring.nodes) {
     report.nodes.push_back({node.name, {}, 0, 0, 0, false});
     weights += node.weight;
@@ -194,7 +195,7 @@
     node.disk_mb += disk;
     busy[ring.owners[virtual_node]] += loads[virtual_node].busy_ms;
     sum += loads[virtual_node].busy_ms;
-    askings += loads[virtual_node].askings;
+    attempts += loads[virtual_node].attempts;
   }
   for (const auto& [account, owner] : ring.placed) {
     const auto [memory, disk] = ring.size_of(RingUnit{0, account});
@@ -221,14 +222,14 @@
     report.nodes[owner].load += load;
     busy[owner] += load.busy_ms;
     sum += load.busy_ms;
-    askings += load.askings;
+    attempts += load.attempts;
   }
   const auto share_of = [&](std::size_t index) {
     return sum > 0 ? busy[index] / (sum * ring.nodes[index].weight / weights) : 0;
   };
   for (std::size_t index = 0; index < count; ++index)
     report.nodes[index].share = share_of(index);
-  report.is_enough = askings >= options_.least_askings;
+  report.is_enough = attempts >= options_.min_attempts;
   if (!report.is_enough) {
     report.remarks.push_back("too few askings to judge by");
     return report;
@@ -237,7 +238,7 @@
   std::vector<std::string> over;
   for (std::size_t index = 0; index < count; ++index) {
     NodeReport& node = report.nodes[index];
-    const double chance = 3 / std::sqrt(std::max(1.0, node.load.askings));
+    const double chance = 3 / std::sqrt(std::max(1.0, node.load.attempts));
     const bool was_over = std::find(over_.begin(), over_.end(), node.name) != over_.end();
     node.is_over = node.share > (was_over ? options_.settled : options_.over + chance);
     if (node.is_over)
@@ -256,7 +257,7 @@
         from = index;
     if (from == count)
       break;
-    if (report.proposals.size() >= options_.most_proposals) {
+    if (report.proposals.size() >= options_.max_proposals) {
       report.remarks.push_back(ring.nodes[from].name + " stays at " + percent(share_of(from)) +
                                ": as many moves as are proposed at once");
       break;
--- a/src/coordination/ring_watch.h
+++ b/src/coordination/ring_watch.h
@@ -12,9 +12,9 @@
 namespace saddlewing {
 
 struct RingLoad {
-  double askings = 0, busy_ms = 0, bytes = 0;
+  double attempts = 0, busy_ms = 0, bytes = 0;
   RingLoad& operator+=(const RingLoad& other) {
-    askings += other.askings, busy_ms += other.busy_ms, bytes += other.bytes;
+    attempts += other.attempts, busy_ms += other.busy_ms, bytes += other.bytes;
     return *this;
   }
 };
@@ -22,31 +22,31 @@
 // Sums that fade: what came one half-life ago counts half.
 class RingLoads {
  public:
-  explicit RingLoads(Span half_life) : half_life_(half_life) {
+  explicit RingLoads(Duration half_life) : half_life_(half_life) {
   }
-  void add(VirtualNode virtual_node, const RingLoad& load, Moment now);
-  std::vector<RingLoad> sums(std::size_t count, Moment now) const;
+  void add(VirtualNode virtual_node, const RingLoad& load, TimePoint now);
+  std::vector<RingLoad> sums(std::size_t count, TimePoint now) const;
 
  private:
-  double fading(Moment since, Moment now) const;
-  Span half_life_;
-  std::vector<std::pair<RingLoad, Moment>> rows_;
+  double fading(TimePoint since, TimePoint now) const;
+  Duration half_life_;
+  std::vector<std::pair<RingLoad, TimePoint>> rows_;
 };
 
 // The same for accounts, of which only the busiest are kept.
 class AccountLoads {
  public:
-  AccountLoads(Span half_life, std::size_t most) : half_life_(half_life), most_(most) {
+  AccountLoads(Duration half_life, std::size_t limit) : half_life_(half_life), max_(limit) {
   }
-  void add(const std::string& account, const RingLoad& load, Moment now);
+  void add(const std::string& account, const RingLoad& load, TimePoint now);
   // The busiest first.
-  std::vector<std::pair<std::string, RingLoad>> sums(Moment now) const;
+  std::vector<std::pair<std::string, RingLoad>> sums(TimePoint now) const;
 
  private:
-  double fading(Moment since, Moment now) const;
-  Span half_life_;
-  std::size_t most_;
-  std::map<std::string, std::pair<RingLoad, Moment>> rows_;
+  double fading(TimePoint since, TimePoint now) const;
+  Duration half_life_;
+  std::size_t max_;
+  std::map<std::string, std::pair<RingLoad, TimePoint>> rows_;
 };
 
 // What a broker counted since it last told: a bounded list, the busiest first.
@@ -61,8 +61,8 @@
   double over = 1.25,
          settled =
              1.10;  // of the mean: above `over` a node carries too much, until under `settled`
-  double least_askings = 200;  // fewer tell nothing
-  std::size_t most_proposals = 4;
+  double min_attempts = 200;  // fewer tell nothing
+  std::size_t max_proposals = 4;
   double distance_zone = 2,
          distance_region = 8;  // cost of a byte over the way, against one within a zone
 };
@@ -95,9 +95,9 @@
 };
 
 // Remembers who carried too much, so that noise around the bound proposes nothing.
-class RingWatch {
+class RingLoadMonitor {
  public:
-  explicit RingWatch(WatchOptions options) : options_(options) {
+  explicit RingLoadMonitor(WatchOptions options) : options_(options) {
   }
   // `loads`: of virtual nodes, without accounts that live elsewhere; `accounts`: of the busiest.
   RingReport report(const RingMap& ring, const std::vector<RingLoad>& loads,
@@ -110,7 +110,7 @@
 
 // Reads an operator's file and checks it against the configuration: the ring never sends where no
 // route allows it.
-Fault check_ring_file(const std::string& file, const Configuration& configuration, RingMap& ring);
+Error check_ring_file(const std::string& file, const Configuration& configuration, RingMap& ring);
 
 // What a move of this unit costs between these nodes: its megabytes, weighed by distance and by the
 // slower end.
--- a/src/coordination/rollout.h
+++ b/src/coordination/rollout.h
@@ -11,11 +11,11 @@
 namespace saddlewing {
 
 // At a registry. Invariant: the version in force never falls and never exceeds the one committed.
-class Rollout {
+class VersionRollout {
  public:
-  explicit Rollout(Span most_wait) : most_wait_(most_wait) {
+  explicit VersionRollout(Duration max_wait) : max_wait_(max_wait) {
   }
-  void commit(Version version, Moment now) {
+  void commit(Version version, TimePoint now) {
     if (version <= committed_)
       return;
     committed_ = version;
@@ -28,12 +28,12 @@
   };
   // `held`: what each broker heard of late says it holds. Who does not hold it in time is not
   // waited for.
-  Turn advance(const std::vector<Version>& held, Moment now) {
+  Turn advance(const std::vector<Version>& held, TimePoint now) {
     if (in_force_ >= committed_)
       return Turn::none;
     const bool is_held = std::all_of(held.begin(), held.end(),
                                      [&](Version version) { return version >= committed_; });
-    if (!is_held && now - since_ < most_wait_)
+    if (!is_held && now - since_ < max_wait_)
       return Turn::none;
     in_force_ = committed_;
     return is_held ? Turn::held_by_all : Turn::waited_enough;
@@ -46,18 +46,18 @@
   }
 
  private:
-  Span most_wait_;
+  Duration max_wait_;
   Version committed_, in_force_;
-  Moment since_{};
+  TimePoint since_{};
 };
 
 // At a broker. Invariant: `coming` is null or of a higher version than `serving`, and `serving`
 // never goes back.
-class Turnover {
+class VersionSwitch {
  public:
-  explicit Turnover(Span most_wait) : most_wait_(most_wait) {
+  explicit VersionSwitch(Duration max_wait) : max_wait_(max_wait) {
   }
-  bool take(ConfigurationSnapshot snapshot, Moment now) {
+  bool take(ConfigurationSnapshot snapshot, TimePoint now) {
     if (snapshot->version <= held())
       return false;
     if (!coming_)
@@ -70,7 +70,7 @@
   }
   // A first version in this life has nothing to wait for, and none is waited for without end:
   // registries may be out of reach. True if the version to serve by changed.
-  bool turn(bool is_serving, Moment now) {
+  bool turn(bool is_serving, TimePoint now) {
     if (!coming_)
       return false;
     if (serving_ && is_serving && in_force_ < coming_->version && now < due())
@@ -88,15 +88,15 @@
   bool is_turning() const {
     return coming_ != nullptr;
   }
-  Moment due() const {
-    return since_ + most_wait_;
+  TimePoint due() const {
+    return since_ + max_wait_;
   }
 
  private:
-  Span most_wait_;
+  Duration max_wait_;
   ConfigurationSnapshot serving_, coming_;
   Version in_force_;
-  Moment since_{};
+  TimePoint since_{};
 };
 
 }  // namespace saddlewing
--- a/src/coordination/session.cpp
+++ b/src/coordination/session.cpp
@@ -7,7 +7,7 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::size_t most_values = 256, most_names = 1024;
+constexpr std::size_t max_values = 256, max_names = 1024;
 
 // What stands for a client's prepared name on connections shared with others.
 std::string digest_of(const std::string& text) {
@@ -27,20 +27,20 @@
   leave(Clock::now());
 }
 
-void Session::say_done(const std::string& stamp, char state, const std::string& place,
+void Session::say_done(const std::string& stamp, char state, const std::string& position,
                        std::string rows) {
-  rows += wire(WireKind::done, {stamp});
-  rows += wire(WireKind::ready, {std::string_view(&state, 1), place});
+  rows += encode_message(WireKind::done, {stamp});
+  rows += encode_message(WireKind::ready, {std::string_view(&state, 1), position});
   ground_.say(*this, std::move(rows));
 }
 
 void Session::say_error(Verdict verdict, const std::string& text, char state) {
-  ground_.say(*this, wire(WireKind::error, {name_of(verdict), text}) +
-                         wire(WireKind::ready, {std::string_view(&state, 1), "-"}));
+  ground_.say(*this, encode_message(WireKind::error, {name_of(verdict), text}) +
+                         encode_message(WireKind::ready, {std::string_view(&state, 1), "-"}));
 }
 
 void Session::take_wrong(Verdict verdict) {
-  ground_.say(*this, wire(WireKind::error, {name_of(verdict), "not in the protocol"}));
+  ground_.say(*this, encode_message(WireKind::error, {name_of(verdict), "not in the protocol"}));
   leave(Clock::now());
   ground_.close(*this);
 }
@@ -52,16 +52,16 @@
   const bool is_known = configuration && configuration->match_database(message.field(0));
   if (!is_known) {
     const Verdict verdict = configuration ? Verdict::no_database : Verdict::busy;
-    ground_.say(*this, wire(WireKind::error, {name_of(verdict), "no such database"}));
+    ground_.say(*this, encode_message(WireKind::error, {name_of(verdict), "no such database"}));
     state_ = State::closing;
     return ground_.close(*this);
   }
   database_ = message.field(0);
   state_ = State::idle;
-  ground_.say(*this, wire(WireKind::ready, {"I", "-"}));
+  ground_.say(*this, encode_message(WireKind::ready, {"I", "-"}));
 }
 
-void Session::take(WireMessage&& message, Moment now) {
+void Session::take(WireMessage&& message, TimePoint now) {
   if (state_ == State::closing)
     return;
   if (message.kind == WireKind::bye) {
@@ -75,25 +75,25 @@
   take_idle(message.fields[0], message.fields[1], now);
 }
 
-void Session::adopt(const Rule& rule) {
+void Session::adopt(const Route& route) {
   const Configuration& configuration = *ground_.configuration();
-  const Service& service = configuration.services[rule.shares[0].service.value];
-  rule_ = rule;
+  const Service& service = configuration.services[route.shares[0].service.value];
+  route_ = route;
   service_ = service.name;
   change_rest_ = configuration.limits.change_rest;
-  most_lanes_ = ground_.most_lanes(service);
+  max_connections_ = ground_.max_connections(service);
 }
 
-bool Session::take_own(const Statement& statement, Moment now) {
+bool Session::take_own(const Statement& statement, TimePoint now) {
   const char state = has_change_ ? 'T' : 'I';
   switch (statement.verb) {
     case Verb::set:
-      if (values_.size() >= most_values && !values_.contains(statement.first))
+      if (values_.size() >= max_values && !values_.contains(statement.first))
         return say_error(Verdict::too_long, "too many values", state), true;
       values_[statement.first] = statement.second;
       break;
     case Verb::name: {
-      if (names_.size() >= most_names && !names_.contains(statement.first))
+      if (names_.size() >= max_names && !names_.contains(statement.first))
         return say_error(Verdict::too_long, "too many names", state), true;
       const std::string what = statement.second + " " + statement.rest;
       const std::string key = digest_of(what);
@@ -107,13 +107,13 @@
     case Verb::begin_read: {
       if (has_change_)
         return say_error(Verdict::garbled, "in a transaction already", state), true;
-      const Rule* rule = ground_.configuration()->match_database(database_);
-      if (!rule)
+      const Route* route = ground_.configuration()->match_database(database_);
+      if (!route)
         return say_error(Verdict::no_database, "no such database any more", 'I'), true;
       has_change_ = true;
       is_read_only_ = statement.verb == Verb::begin_read;
       has_begun_ = has_asked_ = is_undone_ = false;
-      adopt(*rule);
+      adopt(*route);
       break;
     }
     case Verb::undo:
@@ -130,7 +130,7 @@
   return true;
 }
 
-void Session::take_idle(const std::string& id, const std::string& text, Moment now) {
+void Session::take_idle(const std::string& id, const std::string& text, TimePoint now) {
   const Statement statement = read_statement(text);
   const bool ends_change = statement.verb == Verb::save || statement.verb == Verb::undo;
   if (has_change_ && (state_ == State::failed || is_undone_)) {
@@ -153,7 +153,7 @@
 }
 
 void Session::start(const std::string& id, const std::string& text, const Statement& statement,
-                    Moment now) {
+                    TimePoint now) {
   metrics().add(Metric::statements);
   prepared_ = nullptr;
   id_ = id;
@@ -164,7 +164,7 @@
     const auto found = names_.find(statement.first);
     if (found == names_.end()) {
       if (has_change_)
-        state_ = State::failed, drop_lane(now);
+        state_ = State::failed, drop_connection(now);
       return say_error(Verdict::no_such, "no such name", has_change_ ? 'E' : 'I');
     }
     prepared_ = &found->second;
@@ -172,26 +172,27 @@
     writes = prepared_->is_write;
   }
   if (!has_change_) {
-    const Rule* rule = ground_.configuration()->match_database(database_);
-    if (!rule)
+    const Route* route = ground_.configuration()->match_database(database_);
+    if (!route)
       return say_error(Verdict::no_database, "no such database any more", 'I');
-    adopt(*rule);
+    adopt(*route);
     is_read_only_ = !writes;
   }
   is_write_ = verb_ == Verb::save || (writes && !has_change_);
   tries_ = 0;
-  most_tries_ = std::max(2, rule_.tries);
+  max_tries_ = std::max(2, route_.tries);
   began_ = now;
-  deadline_ = now + rule_.give_up;
+  deadline_ = now + route_.give_up;
   ground_.set_due(*this, deadline_);
   proceed(now);
 }
 
-void Session::proceed(Moment now) {
-  if (lane_)
+void Session::proceed(TimePoint now) {
+  if (connection_)
     return prepare(now);
   state_ = State::seeking;
-  const DatabaseChoice choice = ground_.choose(*this, service_, rule_, !is_read_only_, began_, now);
+  const DatabaseChoice choice =
+      ground_.choose(*this, service_, route_, !is_read_only_, began_, now);
   if (!choice.backend) {
     if (!ground_.may_wait(*this))
       finish_failed(Verdict::busy, "too many wait", now);
@@ -199,16 +200,16 @@
   }
   is_lead_ = choice.is_lead;
   after_ = choice.after;
-  ground_.pool().seek(*this, choice.backend, most_lanes_, now);
+  ground_.pool().seek(*this, choice.backend, max_connections_, now);
 }
 
-void Session::on_lane(Lane& lane, Moment now) {
-  lane_ = &lane;
-  lane.take(*this);
+void Session::on_connection(DatabaseConnection& connection, TimePoint now) {
+  connection_ = &connection;
+  connection.take(*this);
   prepare(now);
 }
 
-void Session::on_no_lane(Backend& backend, Verdict why, Moment now) {
+void Session::on_no_connection(Backend& backend, Verdict why, TimePoint now) {
   ground_.see_refusal(backend, why, now);
   ++tries_;
   if (may_try_again())
@@ -218,9 +219,9 @@
     finish_failed(Verdict::busy, "no connection", now);
 }
 
-void Session::prepare(Moment now) {
+void Session::prepare(TimePoint now) {
   if (!has_lead(now)) {
-    drop_lane(now);
+    drop_connection(now);
     return has_asked_ && has_change_ ? finish_failed(Verdict::undone, "the lead has changed", now)
                                      : proceed(now);
   }
@@ -231,23 +232,23 @@
     if (after_.is_known())
       begin = "AFTER " + after_.text() + " " + begin;
   }
-  if (lane_->prepare(values_, prepared_, begin, now))
+  if (connection_->prepare(values_, prepared_, begin, now))
     send(now);
 }
 
-void Session::on_prepared(Lane& lane, Verdict verdict) {
-  const Moment now = Clock::now();
+void Session::on_prepared(DatabaseConnection& connection, Verdict verdict) {
+  const TimePoint now = Clock::now();
   if (verdict == Verdict::none) {
     has_begun_ = has_change_;
     return send(now);
   }
-  ground_.see_refusal(lane.backend(), verdict, now);
+  ground_.see_refusal(connection.backend(), verdict, now);
   // Nothing of the statement was sent. What the connection carries is in doubt unless the answer
   // was a plain refusal.
   if (!is_not_run(verdict))
-    lane_ = nullptr, lane.close();
+    connection_ = nullptr, connection.close();
   else
-    drop_lane(now);
+    drop_connection(now);
   has_begun_ = false;
   if (has_change_ && has_asked_)
     return finish_failed(Verdict::undone, "a name or value could not be set", now);
@@ -257,57 +258,58 @@
   proceed(now);
 }
 
-void Session::send(Moment now) {
+void Session::send(TimePoint now) {
   if (!has_lead(now)) {
-    drop_lane(now);
+    drop_connection(now);
     if (has_change_ && has_asked_)
       return finish_failed(Verdict::undone, "the lead has changed", now);
     has_begun_ = false;
     return proceed(now);
   }
-  state_ = State::asking;
+  state_ = State::attempting;
   has_asked_ = true;
   ++tries_;
   const bool needs_after = !has_change_ && after_.is_known();
-  lane_->ask(wire_ask(id_, needs_after ? "AFTER " + after_.text() + " " + text_ : text_), now);
+  connection_->ask(wire_ask(id_, needs_after ? "AFTER " + after_.text() + " " + text_ : text_),
+                   now);
 }
 
-void Session::on_outcome(Lane& lane, LaneOutcome outcome) {
-  const Moment now = Clock::now();
+void Session::on_response(DatabaseConnection& connection, StatementResult outcome) {
+  const TimePoint now = Clock::now();
   if (!has_lead(now)) {  // whatever it says, somebody else may lead already
-    drop_lane(now);
-    return lose_outcome(now);
+    drop_connection(now);
+    return lose_response(now);
   }
   if (outcome.verdict != Verdict::none) {
-    ground_.see_refusal(lane.backend(), outcome.verdict, now);
+    ground_.see_refusal(connection.backend(), outcome.verdict, now);
     if (has_change_) {
-      drop_lane(now);
+      drop_connection(now);
       return finish_failed(outcome.verdict, outcome.text, now);
     }
-    drop_lane(now);
+    drop_connection(now);
     const bool may_repeat =
         is_not_run(outcome.verdict) && (outcome.verdict != Verdict::busy || is_read_only_);
     if (may_repeat && (may_try_again() || outcome.verdict == Verdict::readonly))
       return proceed(now);
     return finish_failed(outcome.verdict, outcome.text, now);
   }
-  LogPlace place;
-  if (is_write_ && read_place(outcome.place, place))
-    own_place_ = place;
+  LogPosition position;
+  if (is_write_ && read_log_position(outcome.position, position))
+    own_position_ = position;
   if (verb_ == Verb::save || !has_change_) {
     has_change_ = false;
-    drop_lane(now);
+    drop_connection(now);
     outcome.state = 'I';
   }
   state_ = has_change_ ? State::resting : State::idle;
   settle(now);
-  say_done(outcome.text, outcome.state, outcome.place, std::move(outcome.rows));
+  say_done(outcome.text, outcome.state, outcome.position, std::move(outcome.rows));
 }
 
-void Session::on_broken(Lane&) {
-  const Moment now = Clock::now();
+void Session::on_broken(DatabaseConnection&) {
+  const TimePoint now = Clock::now();
   const State before = state_;
-  lane_ = nullptr;
+  connection_ = nullptr;
   if (before == State::resting) {  // rolled back with its connection
     is_undone_ = true;
     return;
@@ -320,12 +322,12 @@
     return may_try_again() ? proceed(now)
                            : finish_failed(Verdict::busy, "the connection broke", now);
   }
-  if (before == State::asking)
-    lose_outcome(now);
+  if (before == State::attempting)
+    lose_response(now);
 }
 
 // The statement may have run and its outcome is not known.
-void Session::lose_outcome(Moment now) {
+void Session::lose_response(TimePoint now) {
   if (is_write_)
     return finish_failed(Verdict::unknown, "the outcome was lost", now);
   if (!has_change_ && may_try_again() && now < deadline_)
@@ -334,18 +336,18 @@
                 now);  // reads keep nothing, and what was not saved is rolled back
 }
 
-void Session::drop_lane(Moment now) {
+void Session::drop_connection(TimePoint now) {
   if (state_ == State::seeking)
     ground_.pool().stop_seeking(*this);
-  if (Lane* lane = std::exchange(lane_, nullptr))
-    lane->release(now);
+  if (DatabaseConnection* connection = std::exchange(connection_, nullptr))
+    connection->release(now);
 }
 
-void Session::finish_failed(Verdict verdict, const std::string& text, Moment now) {
+void Session::finish_failed(Verdict verdict, const std::string& text, TimePoint now) {
   if (verdict == Verdict::unknown)
-    metrics().add(Metric::unknown_outcomes);
+    metrics().add(Metric::unknown_responses);
   ground_.stop_waiting(*this);
-  drop_lane(now);
+  drop_connection(now);
   const bool is_over = !has_change_ || verb_ == Verb::save;
   if (is_over)
     has_change_ = false;
@@ -354,47 +356,47 @@
   say_error(verdict, text, is_over ? 'I' : 'E');
 }
 
-void Session::end_change(Moment now) {
-  drop_lane(now);
+void Session::end_change(TimePoint now) {
+  drop_connection(now);
   has_change_ = is_undone_ = false;
   state_ = State::idle;
   settle(now);
 }
 
 // Between statements only a resting transaction has a moment to end at.
-void Session::settle(Moment now) {
+void Session::settle(TimePoint now) {
   ground_.set_due(*this,
-                  has_change_ && state_ == State::resting ? now + change_rest_ : Moment::max());
+                  has_change_ && state_ == State::resting ? now + change_rest_ : TimePoint::max());
 }
 
-void Session::on_due(Moment now) {
+void Session::on_due(TimePoint now) {
   if (state_ == State::resting) {
-    drop_lane(now);
+    drop_connection(now);
     is_undone_ = true;
     return;
   }
   if (!is_busy())
     return;
-  if (state_ == State::asking) {
-    if (Lane* lane = std::exchange(lane_, nullptr))
-      lane->close(Verdict::timeout);
+  if (state_ == State::attempting) {
+    if (DatabaseConnection* connection = std::exchange(connection_, nullptr))
+      connection->close(Verdict::timeout);
     if (is_write_)
       return finish_failed(Verdict::unknown, "no outcome in time", now);
     return finish_failed(has_change_ ? Verdict::undone : Verdict::timeout, "no outcome in time",
                          now);
   }
   if (state_ == State::preparing)
-    if (Lane* lane = std::exchange(lane_, nullptr))
-      lane->close();
+    if (DatabaseConnection* connection = std::exchange(connection_, nullptr))
+      connection->close();
   finish_failed(has_change_ ? Verdict::undone : Verdict::busy, "not begun in time", now);
 }
 
-void Session::leave(Moment now) {
+void Session::leave(TimePoint now) {
   if (state_ == State::closing)
     return;
   ground_.stop_waiting(*this);
-  ground_.set_due(*this, Moment::max());
-  drop_lane(now);
+  ground_.set_due(*this, TimePoint::max());
+  drop_connection(now);
   state_ = State::closing;
 }
 
--- a/src/coordination/session.h
+++ b/src/coordination/session.h
@@ -15,24 +15,25 @@
 struct DatabaseChoice {
   BackendPointer backend;  // null: nobody for now; it is worth waiting
   bool is_lead = false;    // asked as the leader: only under a hold
-  LogPlace after;          // of a copy: what its log must hold
+  LogPosition after;       // of a copy: what its log must hold
 };
 
-class SessionGround {
+class SessionContext {
  public:
-  virtual ~SessionGround() = default;
+  virtual ~SessionContext() = default;
   virtual const ConfigurationSnapshot& configuration() const = 0;  // null: none yet
   virtual DatabaseChoice choose(const Session& session, const std::string& service,
-                                const Rule& rule, bool must_lead, Moment began, Moment now) = 0;
-  virtual bool holds_lead(const Backend& backend, Moment now) const = 0;
+                                const Route& route, bool must_lead, TimePoint began,
+                                TimePoint now) = 0;
+  virtual bool holds_leadership(const Backend& backend, TimePoint now) const = 0;
   virtual bool may_wait(Session& session) = 0;  // until `proceed` is called; false: too many wait
   virtual void stop_waiting(Session& session) = 0;
-  virtual void see_refusal(Backend& backend, Verdict verdict, Moment now) = 0;
+  virtual void see_refusal(Backend& backend, Verdict verdict, TimePoint now) = 0;
   virtual void say(Session& session, std::string bytes) = 0;
-  virtual void close(Session& session) = 0;                // after what was said has left
-  virtual void set_due(Session& session, Moment due) = 0;  // Moment::max(): never
-  virtual Pool& pool() = 0;
-  virtual int most_lanes(const Service& service) const = 0;
+  virtual void close(Session& session) = 0;                   // after what was said has left
+  virtual void set_due(Session& session, TimePoint due) = 0;  // Moment::max(): never
+  virtual DatabaseConnectionPool& pool() = 0;
+  virtual int max_connections(const Service& service) const = 0;
 };
 
 // Its way: Greeting -> Idle -> Seeking -> Preparing -> Asking -> Idle; within a transaction Resting
@@ -40,26 +41,26 @@
 // end. Closing ends it. Invariants: a connection is held only from a transaction's first statement
 // to its end; values and names are exactly what was acknowledged; a write or SAVE whose bytes left
 // is never sent again.
-class Session final : public LaneSeeker, public LaneUser {
+class Session final : public ConnectionWaiter, public ConnectionUser {
  public:
   enum class State {
     greeting,
     idle,
     seeking,
     preparing,
-    asking,
+    attempting,
     resting,
     failed,
     closing
   };
-  explicit Session(SessionGround& ground) : ground_(ground) {
+  explicit Session(SessionContext& ground) : ground_(ground) {
   }
   ~Session() override;
 
-  void take(WireMessage&& message, Moment now);
+  void take(WireMessage&& message, TimePoint now);
   void take_wrong(Verdict verdict);  // what cannot be read: told, then closed
   bool is_busy() const {
-    return state_ == State::seeking || state_ == State::preparing || state_ == State::asking;
+    return state_ == State::seeking || state_ == State::preparing || state_ == State::attempting;
   }
   bool is_in_change() const {
     return has_change_;
@@ -70,71 +71,71 @@
   const std::string& database() const {
     return database_;
   }
-  const LogPlace& own_place() const {
-    return own_place_;
+  const LogPosition& own_position() const {
+    return own_position_;
   }
-  void proceed(Moment now);  // what it waited for may be there
-  void on_due(Moment now);
-  void leave(Moment now);  // the client is gone
+  void proceed(TimePoint now);  // what it waited for may be there
+  void on_due(TimePoint now);
+  void leave(TimePoint now);  // the client is gone
 
   const Values& wanted_values() const override {
     return values_;
   }
-  void on_lane(Lane& lane, Moment now) override;
-  void on_no_lane(Backend& backend, Verdict why, Moment now) override;
-  void on_prepared(Lane& lane, Verdict verdict) override;
-  void on_outcome(Lane& lane, LaneOutcome outcome) override;
-  void on_broken(Lane& lane) override;
+  void on_connection(DatabaseConnection& connection, TimePoint now) override;
+  void on_no_connection(Backend& backend, Verdict why, TimePoint now) override;
+  void on_prepared(DatabaseConnection& connection, Verdict verdict) override;
+  void on_response(DatabaseConnection& connection, StatementResult outcome) override;
+  void on_broken(DatabaseConnection& connection) override;
 
  private:
-  void adopt(const Rule& rule);
+  void adopt(const Route& route);
   void greet(WireMessage&& message);
-  void take_idle(const std::string& id, const std::string& text, Moment now);
-  bool take_own(const Statement& statement, Moment now);  // what needs no backend
+  void take_idle(const std::string& id, const std::string& text, TimePoint now);
+  bool take_own(const Statement& statement, TimePoint now);  // what needs no backend
   void start(const std::string& id, const std::string& text, const Statement& statement,
-             Moment now);
-  void prepare(Moment now);
-  void send(Moment now);
+             TimePoint now);
+  void prepare(TimePoint now);
+  void send(TimePoint now);
   bool may_try_again() const {
-    return tries_ < most_tries_;
+    return tries_ < max_tries_;
   }
-  void drop_lane(Moment now);
-  bool has_lead(Moment now) const {
-    return !is_lead_ || !lane_ || ground_.holds_lead(lane_->backend(), now);
+  void drop_connection(TimePoint now);
+  bool has_lead(TimePoint now) const {
+    return !is_lead_ || !connection_ || ground_.holds_leadership(connection_->backend(), now);
   }
-  void lose_outcome(Moment now);
-  void say_done(const std::string& stamp, char state, const std::string& place,
+  void lose_response(TimePoint now);
+  void say_done(const std::string& stamp, char state, const std::string& position,
                 std::string rows = {});
   void say_error(Verdict verdict, const std::string& text, char state);
-  void finish_failed(Verdict verdict, const std::string& text, Moment now);
-  void end_change(Moment now);
-  void settle(Moment now);
+  void finish_failed(Verdict verdict, const std::string& text, TimePoint now);
+  void end_change(TimePoint now);
+  void settle(TimePoint now);
 
-  SessionGround& ground_;
+  SessionContext& ground_;
   State state_ = State::greeting;
   std::string database_;
   Values values_;
   std::map<std::string, Prepared> names_;
-  LogPlace own_place_;  // of its last commit
+  LogPosition own_position_;  // of its last commit
 
   // The transaction. Invariant: without one, no lane is held while nothing is asked.
   bool has_change_ = false, is_read_only_ = false, has_begun_ = false, has_asked_ = false;
   bool is_undone_ = false;  // ended without the client's word; it is told with its next statement
-  Lane* lane_ = nullptr;
+  DatabaseConnection* connection_ = nullptr;
   bool is_lead_ = false;
-  LogPlace after_;
-  Rule rule_;  // as at its start, and its service's name then
+  LogPosition after_;
+  Route route_;  // as at its start, and its service's name then
   std::string service_;
-  int most_lanes_ = 1;
-  Span change_rest_{3000};
+  int max_connections_ = 1;
+  Duration change_rest_{3000};
 
   // The statement at work.
   std::string id_, text_;
   Verb verb_ = Verb::none;
   bool is_write_ = false;  // its effect would last: a WRITE outside a transaction, or SAVE
   const Prepared* prepared_ = nullptr;
-  Moment began_{}, deadline_{};
-  int tries_ = 0, most_tries_ = 2;
+  TimePoint began_{}, deadline_{};
+  int tries_ = 0, max_tries_ = 2;
 };
 
 }  // namespace saddlewing
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -71,7 +71,7 @@
   std::string complaint;
   if (!read_contacts(read, contacts, wait, complaint))
     return usage(options, "core: " + complaint);
-  return saddlewing::run_core(contacts, read.count("json") > 0, wait);
+  return saddlewing::run_cluster_status(contacts, read.count("json") > 0, wait);
 }
 
 int trace(const cxxopts::Options& options, const cxxopts::ParseResult& read,
@@ -84,7 +84,7 @@
   std::string complaint;
   if (!read_contacts(read, contacts, wait, complaint))
     return usage(options, "tracer: " + complaint);
-  return saddlewing::run_tracer(std::stoll(words[0]), contacts, read.count("json") > 0, wait);
+  return saddlewing::run_trace(std::stoll(words[0]), contacts, read.count("json") > 0, wait);
 }
 
 }  // namespace
--- a/src/programs/broker_program.cpp
+++ b/src/programs/broker_program.cpp
@@ -11,32 +11,32 @@
 
 int run_broker(const std::string& startup_path) {
   Signals signals(startup_path);
-  Startup startup;
-  if (Fault found = read_startup(startup_path, false, startup)) {
+  NodeSettings settings;
+  if (Error found = read_node_settings(startup_path, false, settings)) {
     LOG(ERROR) << "startup: " << found.text();
     return 1;
   }
   std::random_device device;
-  const LifeId life{(static_cast<std::uint64_t>(device()) << 32) | device() | 1u};
-  Traffic traffic(startup, life);
-  Follower follower(
-      startup, life, [&traffic](ViewSnapshot view) { traffic.show(std::move(view)); },
-      [&traffic](AidEvent event) { traffic.tell(std::move(event)); });
+  const IncarnationId incarnation{(static_cast<std::uint64_t>(device()) << 32) | device() | 1u};
+  BrokerLoop traffic(settings, incarnation);
+  ControlPlaneClient follower(
+      settings, incarnation, [&traffic](ViewSnapshot view) { traffic.show(std::move(view)); },
+      [&traffic](DelegationEvent event) { traffic.tell(std::move(event)); });
   follower.set_ring([&traffic](RingNews news) { traffic.turn_ring(std::move(news)); });
-  if (startup.has_edges)
+  if (settings.has_edges)
     follower.set_edges([&traffic](EdgeNews news) { traffic.turn_edges(std::move(news)); });
   traffic.set_follower(follower);
-  traffic.set_sender([&follower](AidOut out) { return follower.send(std::move(out)); });
-  for (const Fault& found : {follower.open(), traffic.open()})
+  traffic.set_sender([&follower](DelegationMessage out) { return follower.send(std::move(out)); });
+  for (const Error& found : {follower.open(), traffic.open()})
     if (found) {
       LOG(ERROR) << "startup: " << found.text();
       return 1;
     }
-  traffic.read_alerts(startup.alert_rules);
+  traffic.read_alerts(settings.alert_rules);
   follower.start();
   traffic.start();
-  LOG(INFO) << "broker: started as " << startup.node_name;
-  signals.serve(startup_path, false, [&](const Startup& changed) {
+  LOG(INFO) << "broker: started as " << settings.node_name;
+  signals.serve(startup_path, false, [&](const NodeSettings& changed) {
     follower.set_contacts(changed.contacts);
     traffic.read_alerts(changed.alert_rules);
   });
--- a/src/programs/check_program.cpp
+++ b/src/programs/check_program.cpp
@@ -23,7 +23,7 @@
   text << file.rdbuf();
   if (path.ends_with(".yaml") || path.ends_with(".yml")) {
     RingMap ring;
-    if (Fault found = read_ring(text.str(), ring)) {
+    if (Error found = read_ring(text.str(), ring)) {
       std::cerr << path << ": " << found.text() << "\n";
       return 1;
     }
@@ -36,11 +36,11 @@
     std::cerr << path << ": not a JSON object\n" << reason;
     return 1;
   }
-  Fault found;
-  const bool is_startup = root.isMember("node_name");
-  if (is_startup) {
-    Startup startup;
-    found = check_startup(text.str(), root.isMember("data_folder"), startup);
+  Error found;
+  const bool is_node_settings = root.isMember("node_name");
+  if (is_node_settings) {
+    NodeSettings settings;
+    found = parse_node_settings(text.str(), root.isMember("data_folder"), settings);
   } else {
     ConfigurationSnapshot snapshot;
     found = read_configuration(text.str(), snapshot);
@@ -49,7 +49,7 @@
     std::cerr << path << ": " << found.text() << "\n";
     return 1;
   }
-  std::cout << path << ": a proper " << (is_startup ? "startup" : "configuration") << "\n";
+  std::cout << path << ": a proper " << (is_node_settings ? "startup" : "configuration") << "\n";
   return 0;
 }
 
--- a/src/programs/core_program.cpp
+++ b/src/programs/core_program.cpp
@@ -19,45 +19,45 @@
   silent = 1,
   no_majority = 3
 };
-constexpr Span ask_again{100};
+constexpr Duration ask_again{100};
 
 // Asks all contacts at once, each until it answers or the time is over.
-std::map<std::string, CoreStatus> ask(const std::vector<std::string>& contacts, Span most) {
-  const Moment until = Clock::now() + most;
+std::map<std::string, ClusterStatus> ask(const std::vector<std::string>& contacts, Duration limit) {
+  const TimePoint until = Clock::now() + limit;
   LinkContext context;
   Waker waker;
-  std::map<std::string, std::unique_ptr<Spoke>> spokes;
-  std::map<std::string, Moment> asked;
-  std::map<std::string, CoreStatus> found;
+  std::map<std::string, std::unique_ptr<FrameClient>> clients;
+  std::map<std::string, TimePoint> asked;
+  std::map<std::string, ClusterStatus> found;
   for (const std::string& contact : contacts) {
     Address address;
     if (parse_address(contact, address))
-      spokes.try_emplace(contact, std::make_unique<Spoke>(context, address));
+      clients.try_emplace(contact, std::make_unique<FrameClient>(context, address));
   }
-  while (Clock::now() < until && found.size() < spokes.size()) {
-    const Moment now = Clock::now();
+  while (Clock::now() < until && found.size() < clients.size()) {
+    const TimePoint now = Clock::now();
     std::vector<void*> handles;
     bool is_connecting = false;
-    for (const auto& [contact, spoke] : spokes) {
+    for (const auto& [contact, client] : clients) {
       if (found.contains(contact))
         continue;
-      handles.push_back(spoke->handle());
+      handles.push_back(client->handle());
       if (now - asked[contact] < ask_again * 3)
         continue;
-      if (spoke->send(encode_core_status_request({FrameKind::core_status_request, {}, {}})))
+      if (client->send(encode_core_status_request({FrameKind::cluster_status_request, {}, {}})))
         asked[contact] = now;
       else
         is_connecting = true;
     }
-    wait_links(
-        handles, waker,
-        std::min(is_connecting ? ask_again / 5 : ask_again, std::chrono::ceil<Span>(until - now)));
-    for (const auto& [contact, spoke] : spokes)
-      while (const auto parcel = spoke->receive()) {
-        ByteReader reader(parcel->bytes);
+    wait_links(handles, waker,
+               std::min(is_connecting ? ask_again / 5 : ask_again,
+                        std::chrono::ceil<Duration>(until - now)));
+    for (const auto& [contact, client] : clients)
+      while (const auto frame = client->receive()) {
+        ByteReader reader(frame->bytes);
         FrameHead head;
-        CoreStatus status;
-        if (decode_head(reader, head) && head.kind == FrameKind::core_status &&
+        ClusterStatus status;
+        if (decode_head(reader, head) && head.kind == FrameKind::cluster_status &&
             decode(reader, status))
           found.try_emplace(contact, std::move(status));
       }
@@ -66,14 +66,14 @@
 }
 
 // Of a voter that knows more of its leader's entries than it holds.
-std::uint64_t behind(const CoreStatus& status) {
+std::uint64_t behind(const ClusterStatus& status) {
   return status.leader_last.value - std::min(status.leader_last.value, status.last.value);
 }
 
-const char* disk_of(const CoreStatus& status) {
+const char* disk_of(const ClusterStatus& status) {
   return status.is_save_failing ? "failing" : status.is_save_stuck ? "stuck" : "fine";
 }
-const char* member_of(const CoreStatus& status) {
+const char* member_of(const ClusterStatus& status) {
   return status.is_removed ? "removed" : status.is_voter ? "voter" : "learner";
 }
 
@@ -81,7 +81,7 @@
   return Json::Value(static_cast<Json::UInt64>(value));
 }
 
-Json::Value json_of(const std::string& contact, const CoreStatus& status) {
+Json::Value json_of(const std::string& contact, const ClusterStatus& status) {
   Json::Value root(Json::objectValue);
   root["contact"] = contact;
   root["node"] = status.node;
@@ -91,8 +91,8 @@
   root["role"] = name_of(status.role);
   root["term"] = numbered(status.term.value);
   root["leader"] = status.leader.empty() ? Json::Value() : Json::Value(status.leader);
-  if (status.role == CoreStatus::Role::follower && !status.leader.empty())
-    root["leader_heard_ms"] = numbered(status.leader_heard);
+  if (status.role == ClusterStatus::Role::follower && !status.leader.empty())
+    root["leader_heard_ms"] = numbered(status.leader_last_contact);
   root["majority"] = status.is_confirmed;
   root["committed"] = Json::Value();
   if (status.has_committed) {
@@ -107,14 +107,14 @@
   root["saving_ms"] = numbered(status.saving);
   root["core_size"] = numbered(status.core_size);
   root["members"] = Json::Value(Json::arrayValue);
-  for (const CoreStatus::Peer& peer : status.peers) {
+  for (const ClusterStatus::Peer& peer : status.peers) {
     Json::Value value(Json::objectValue);
     value["id"] = std::to_string(peer.id.value);
     value["address"] = peer.address;
     value["member"] = peer.is_voter ? "voter" : "learner";
     value["self"] = peer.id == status.self;
-    if (status.role == CoreStatus::Role::leader && peer.is_known) {
-      value["heard_ms"] = numbered(peer.heard);
+    if (status.role == ClusterStatus::Role::leader && peer.is_known) {
+      value["heard_ms"] = numbered(peer.last_contact);
       value["matched"] = peer.is_matched;
       value["behind"] = numbered(peer.behind);
     }
@@ -123,7 +123,7 @@
   return root;
 }
 
-void print(const std::string& contact, const CoreStatus& status) {
+void print(const std::string& contact, const ClusterStatus& status) {
   const auto number = [](std::uint64_t value) {
     return static_cast<unsigned long long>(value);
   };
@@ -136,11 +136,11 @@
     std::printf("  no majority behind it: what follows may be old\n");
   if (status.leader.empty())
     std::printf("  leader: none known\n");
-  else if (status.role == CoreStatus::Role::leader)
+  else if (status.role == ClusterStatus::Role::leader)
     std::printf("  leader: itself\n");
   else
     std::printf("  leader: %s, heard %llu ms ago\n", status.leader.c_str(),
-                number(status.leader_heard));
+                number(status.leader_last_contact));
   if (status.has_committed)
     std::printf("  committed: version %lld, index %llu of term %llu\n",
                 static_cast<long long>(status.version.value), number(status.committed.value),
@@ -154,43 +154,43 @@
     std::printf(", a save under way for %llu ms", number(status.saving));
   std::printf("\n  voters wanted: %u\n  %-24s %-8s %-21s %10s  %s\n", status.core_size, "address",
               "member", "id", "heard ms", "state");
-  for (const CoreStatus::Peer& peer : status.peers) {
-    std::string state = "-", heard = "-";
-    if (status.role == CoreStatus::Role::leader && peer.is_known) {
-      heard = std::to_string(peer.heard);
+  for (const ClusterStatus::Peer& peer : status.peers) {
+    std::string state = "-", last_contact = "-";
+    if (status.role == ClusterStatus::Role::leader && peer.is_known) {
+      last_contact = std::to_string(peer.last_contact);
       state = peer.is_matched ? "matched"
               : peer.behind   ? std::to_string(peer.behind) + " behind"
                               : "not matched";
     }
     if (peer.id == status.self)
-      heard = "itself";
+      last_contact = "itself";
     std::printf("  %-24s %-8s %-21llu %10s  %s\n", peer.address.c_str(),
-                peer.is_voter ? "voter" : "learner", number(peer.id.value), heard.c_str(),
+                peer.is_voter ? "voter" : "learner", number(peer.id.value), last_contact.c_str(),
                 state.c_str());
   }
 }
 
 }  // namespace
 
-int run_core(const std::vector<std::string>& contacts, bool is_json, int wait_ms) {
-  const std::map<std::string, CoreStatus> found = ask(contacts, Span(wait_ms));
+int run_cluster_status(const std::vector<std::string>& contacts, bool is_json, int wait_ms) {
+  const std::map<std::string, ClusterStatus> found = ask(contacts, Duration(wait_ms));
   bool is_any_silent = false, is_any_alone = false;
   Json::Value root(Json::objectValue);
   root["registries"] = Json::Value(Json::arrayValue);
   root["silent"] = Json::Value(Json::arrayValue);
   for (const std::string& contact : contacts) {
-    const auto place = found.find(contact);
-    if (place == found.end()) {
+    const auto position = found.find(contact);
+    if (position == found.end()) {
       is_any_silent = true;
       root["silent"].append(contact);
       std::cerr << "core: no registry answers at " << contact << " within " << wait_ms << " ms\n";
       continue;
     }
-    is_any_alone = is_any_alone || !place->second.is_confirmed;
+    is_any_alone = is_any_alone || !position->second.is_confirmed;
     if (is_json)
-      root["registries"].append(json_of(contact, place->second));
+      root["registries"].append(json_of(contact, position->second));
     else
-      print(contact, place->second);
+      print(contact, position->second);
   }
   if (is_json)
     std::cout << root.toStyledString();
