--- a/src/programs/core_registry.cpp
+++ b/src/programs/core_registry.cpp
@@ -9,52 +9,54 @@
 namespace saddlewing {
 namespace {
 
-constexpr Span whole_every{5000};  // anti-entropy between registries
-constexpr Span oldest_sample{1400};
-constexpr Span broker_silence{4000};  // then a broker no longer counts
-constexpr Span count_every{100};
-constexpr Span start_span{15000};  // after its start a registry has not heard of all yet
-constexpr Span settle_span{4000};  // a number of brokers that lasted so long is remembered
-constexpr const char* fleet_sheet = "fleet";
+constexpr Duration full_sync_interval{5000};  // anti-entropy between registries
+constexpr Duration oldest_sample{1400};
+constexpr Duration broker_timeout{4000};  // then a broker no longer counts
+constexpr Duration count_every{100};
+constexpr Duration start_span{15000};  // after its start a registry has not heard of all yet
+constexpr Duration settle_span{4000};  // a number of brokers that lasted so long is remembered
+constexpr const char* broker_count_document = "fleet";
 constexpr std::uint64_t fleet_token = ~0ull - 2;
 constexpr std::size_t seats_told = 4;  // of each region
 
 }  // namespace
 
-void Core::take_roster(const FrameHead& from, const Roster& roster, Moment now) {
+void ControlLoop::handle_endpoints(const FrameHead& from, const EndpointList& endpoints,
+                                   TimePoint now) {
   if (from.from.empty())
     return;
   Peer& peer = peers_[from.from];
-  if (peer.life != from.life) {  // a new life there: it is to get everything
+  if (peer.incarnation != from.incarnation) {  // a new life there: it is to get everything
     peer = {};
-    peer.life = from.life;
+    peer.incarnation = from.incarnation;
   }
-  if (roster.is_observed)
+  if (endpoints.is_observed)
     peer.observed = now;
-  peer.heard = now;
-  peer.locality = roster.locality;
-  if (roster.wants_whole)
-    peer.whole_due = {};
-  if (!roster.is_whole && roster.base > peer.taken_mark)
+  peer.last_contact = now;
+  peer.zone = endpoints.zone;
+  if (endpoints.wants_whole)
+    peer.full_sync_due = {};
+  if (!endpoints.is_complete && endpoints.base > peer.received_revision)
     peer.is_missing = true;
   else
-    peer.taken_mark = roster.mark, peer.is_missing = peer.is_missing && !roster.is_whole;
-  registry_.take(roster, now);
+    peer.received_revision = endpoints.revision,
+    peer.is_missing = peer.is_missing && !endpoints.is_complete;
+  registry_.take(endpoints, now);
 }
 
 // The leader observes the platform and the backends; others do so only while nobody is heard to.
-void Core::tend_registry(Moment now) {
+void ControlLoop::update_registry(TimePoint now) {
   if (now < registry_due_)
     return;
-  registry_due_ = now + Span(100);
-  std::erase_if(peers_, [&](const auto& peer) { return !spokes_.contains(peer.first); });
+  registry_due_ = now + Duration(100);
+  std::erase_if(peers_, [&](const auto& peer) { return !clients_.contains(peer.first); });
   const bool is_seen_elsewhere = std::any_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
-    return peer.second.observed != Moment{} && now - peer.second.observed < startup_.listing * 3;
+    return peer.second.observed != TimePoint{} &&
+           now - peer.second.observed < settings_.listing * 3;
   });
-  const bool should_observe =
-      agreement_.is_leader() || (!is_seen_elsewhere && !startup_.is_signing_up);
+  const bool should_observe = raft_.is_leader() || (!is_seen_elsewhere && !settings_.is_signing_up);
   if (should_observe && !is_observing_) {
-    registry_.set_stamp_base(agreement_.term().value << 32);
+    registry_.set_stamp_base(raft_.term().value << 32);
     LOG(INFO) << "registry: observes the platform";
   }
   std::int64_t up = 0;
@@ -63,7 +65,7 @@
   metrics().set(Metric::backends_up, up);
   metrics().set(Metric::brokers, static_cast<std::int64_t>(brokers_.size()));
   metrics().set(Metric::evictions, static_cast<std::int64_t>(registry_.evicted()));
-  metrics().set(Metric::leads, agreement_.is_leader());
+  metrics().set(Metric::leaderships, raft_.is_leader());
   const bool has_turned = should_observe != is_observing_;
   is_observing_ = should_observe;
   if (is_observing_) {
@@ -74,13 +76,13 @@
                    << (registry_.is_evicting() ? "evicts again"
                                                : "preserves itself, too few renewals");
   } else {
-    registry_.forget_gone(now, registry_tombstone(startup_));
+    registry_.forget_gone(now, registry_tombstone(settings_));
   }
-  if (has_turned || ordered_mark_ != registry_.mark()) {
-    ordered_mark_ = registry_.mark();
+  if (has_turned || ordered_revision_ != registry_.revision()) {
+    ordered_revision_ = registry_.revision();
     auto order = std::make_shared<WatchOrder>();
     order->is_observing =
-        is_observing_ && !startup_.is_signing_up;  // who tells of itself need not be looked for
+        is_observing_ && !settings_.is_signing_up;  // who tells of itself need not be looked for
     if (configuration_ && order->is_observing) {
       std::map<std::string, std::string> paths;
       for (const Service& service : configuration_->services)
@@ -89,31 +91,31 @@
         if (const auto found = paths.find(target.service); found != paths.end())
           order->targets.push_back({target.id, target.address, found->second, target.is_awaited});
     }
-    lookout_->order(std::move(order));
+    backend_monitor_->order(std::move(order));
   }
-  for (const std::string& address : agreement_.known_addresses()) {
+  for (const std::string& address : raft_.known_addresses()) {
     Peer& peer = peers_[address];
-    const bool is_whole = now >= peer.whole_due;
-    const bool has_news = registry_.mark() > peer.sent_mark;
+    const bool is_complete = now >= peer.full_sync_due;
+    const bool has_news = registry_.revision() > peer.sent_revision;
     const bool is_sign_due =
-        now - peer.sent >= (is_observing_ ? startup_.listing : startup_.listing * 4);
-    if (!is_whole && !has_news && !is_sign_due && !peer.is_missing)
+        now - peer.sent >= (is_observing_ ? settings_.listing : settings_.listing * 4);
+    if (!is_complete && !has_news && !is_sign_due && !peer.is_missing)
       continue;
     peer.sent = now;
-    Roster roster = registry_.since(is_whole ? 0 : peer.sent_mark, now);
-    roster.is_observed = is_observing_;
-    roster.locality = startup_.locality;
-    roster.wants_whole = peer.is_missing;
-    peer.sent_mark = registry_.mark();
-    if (is_whole)
-      peer.whole_due = now + whole_every;
-    send_to(address, encode(head(), roster));
+    EndpointList endpoints = registry_.since(is_complete ? 0 : peer.sent_revision, now);
+    endpoints.is_observed = is_observing_;
+    endpoints.zone = settings_.zone;
+    endpoints.wants_whole = peer.is_missing;
+    peer.sent_revision = registry_.revision();
+    if (is_complete)
+      peer.full_sync_due = now + full_sync_interval;
+    send_to(address, encode(head(), endpoints));
   }
 }
 
 // Of each other region a few, from the place of the receiver's own hash on, so that every broker is
 // some others' choice and one that comes or goes changes the choice of few.
-void Core::choose_seats(const Broker& to, Beat& beat) {
+void ControlLoop::choose_seats(const Broker& to, ControlHeartbeat& heartbeat) {
   if (are_seats_old_) {
     are_seats_old_ = false;
     seats_.clear();
@@ -127,174 +129,178 @@
   for (const auto& [region, seats] : seats_) {
     if (region == to.region)
       continue;
-    auto place = static_cast<std::size_t>(
+    auto position = static_cast<std::size_t>(
         std::lower_bound(seats.begin(), seats.end(), std::pair(own, std::string())) -
         seats.begin());
-    for (std::size_t count = 0; count < std::min(seats.size(), seats_told); ++count, ++place) {
-      const auto& [hash, address] = seats[place % seats.size()];
-      beat.seats.push_back({address, region});
-      beat.seats_mark = beat.seats_mark * 31 + hash + 1;
+    for (std::size_t count = 0; count < std::min(seats.size(), seats_told); ++count, ++position) {
+      const auto& [hash, address] = seats[position % seats.size()];
+      heartbeat.seats.push_back({address, region});
+      heartbeat.brokers_revision = heartbeat.brokers_revision * 31 + hash + 1;
     }
   }
 }
 
-void Core::send_beat(Broker& to, bool is_granting, Moment now, Beat beat) {
-  beat.term = led_in();
-  beat.asker = to.life;
-  beat.token = to.token;
-  beat.is_leader = agreement_.is_leased(now);
-  beat.locality = startup_.locality;
-  beat.region = startup_.region;
-  if (agreement_.committed())
-    beat.version = agreement_.committed()->version;
-  beat.in_force = rollout_.in_force();
-  beat.is_confirmed = agreement_.is_confirmed(now);
-  beat.is_filled = registry_.is_filled();
-  beat.brokers =
+void ControlLoop::send_heartbeat(Broker& to, bool is_granting, TimePoint now,
+                                 ControlHeartbeat heartbeat) {
+  heartbeat.term = led_in();
+  heartbeat.requester = to.incarnation;
+  heartbeat.token = to.token;
+  heartbeat.is_leader = raft_.is_leased(now);
+  heartbeat.zone = settings_.zone;
+  heartbeat.region = settings_.region;
+  if (raft_.committed())
+    heartbeat.version = raft_.committed()->version;
+  heartbeat.in_force = rollout_.in_force();
+  heartbeat.is_confirmed = raft_.is_confirmed(now);
+  heartbeat.is_filled = registry_.is_filled();
+  heartbeat.brokers =
       std::max<std::uint64_t>(brokers_.size(), now - born_ < start_span ? remembered_brokers_ : 0);
-  beat.registries = agreement_.known_addresses();
-  beat.registries.push_back(address_);
-  if (to.wants_roster && !to.is_pooler)
-    choose_seats(to, beat);
-  if (is_granting && beat.is_leader) {
-    beat.grant =
-        static_cast<std::uint64_t>(grants_.grant(to.from, to.life, brokers_.size(), now) * 1000);
-    beat.grant_valid = static_cast<std::uint64_t>(grants_.valid().count());
+  heartbeat.registries = raft_.known_addresses();
+  heartbeat.registries.push_back(address_);
+  if (to.wants_endpoints && !to.is_pooler)
+    choose_seats(to, heartbeat);
+  if (is_granting && heartbeat.is_leader) {
+    heartbeat.grant = static_cast<std::uint64_t>(
+        grants_.grant(to.from, to.incarnation, brokers_.size(), now) * 1000);
+    heartbeat.grant_valid = static_cast<std::uint64_t>(grants_.valid().count());
   }
-  if (beat.seats_mark == to.seats_mark)
-    beat.seats.clear();
-  if (startup_.has_edges && beat.is_leader && beat.is_confirmed && !to.is_pooler) {
-    beat.edges_in_force = static_cast<std::uint64_t>(edge_rollout_.in_force().value);
-    if (to.edges_held < edge_judge_.view()->mark)
-      beat.edges = edges_text_;
+  if (heartbeat.brokers_revision == to.brokers_revision)
+    heartbeat.seats.clear();
+  if (settings_.has_edges && heartbeat.is_leader && heartbeat.is_confirmed && !to.is_pooler) {
+    heartbeat.edges_in_force = static_cast<std::uint64_t>(edge_rollout_.in_force().value);
+    if (to.edges_held < edge_aggregator_.view()->revision)
+      heartbeat.edges = edges_text_;
   }
-  beat.leads_mark = leads_.mark;
-  if (to.is_pooler && beat.is_leader && to.leads_mark < leads_.mark)
-    beat.leads = leads_text_;
-  if (to.is_pooler && to.wants_roster) {
-    beat.samples = samples_.tell(now, oldest_sample);
-    beat.serial = to.beats.ask(now);
+  heartbeat.leadership_revision = leaderships_.revision;
+  if (to.is_pooler && heartbeat.is_leader && to.leadership_revision < leaderships_.revision)
+    heartbeat.leaderships = leaderships_text_;
+  if (to.is_pooler && to.wants_endpoints) {
+    heartbeat.samples = samples_.tell(now, oldest_sample);
+    heartbeat.serial = to.heartbeats.ask(now);
   }
-  hub_.send(to.route, encode(head(), beat));
+  frame_server_.send(to.routing_id, encode(head(), heartbeat));
 }
 
-void Core::take_follow(const std::string& route, const FrameHead& from, const Follow& follow,
-                       Moment now) {
-  const auto [place, is_new] = brokers_.try_emplace(from.from);
-  Broker& broker = place->second;
+void ControlLoop::handle_subscribe(const std::string& routing_id, const FrameHead& from,
+                                   const SubscribeRequest& follow, TimePoint now) {
+  const auto [position, is_new] = brokers_.try_emplace(from.from);
+  Broker& broker = position->second;
   if (is_new)
-    broker.beats = Askings(life_);
+    broker.heartbeats = RequestClock(incarnation_);
   are_seats_old_ =
       are_seats_old_ || broker.is_ready != follow.is_ready || broker.region != follow.region;
   if (broker.held < follow.version)
     LOG(INFO) << "registry: broker " << from.from << " holds edition " << follow.version.value;
-  broker.route = route;
+  broker.routing_id = routing_id;
   broker.from = from.from;
   broker.region = follow.region;
-  broker.life = from.life;
+  broker.incarnation = from.incarnation;
   broker.is_ready = follow.is_ready;
-  broker.seats_mark = follow.seats_mark;
+  broker.brokers_revision = follow.brokers_revision;
   broker.held = follow.version;
-  broker.heard = now;
-  broker.sent_mark = follow.roster_life == life_.value ? follow.roster_mark : 0;
-  broker.wants_roster = follow.wants_roster;
-  broker.leads_mark = follow.leads_mark;
+  broker.last_contact = now;
+  broker.sent_revision =
+      follow.endpoints_incarnation == incarnation_.value ? follow.endpoints_revision : 0;
+  broker.wants_endpoints = follow.wants_endpoints;
+  broker.leadership_revision = follow.leadership_revision;
   broker.token = follow.token;
-  if (broker.wants_roster && broker.sent_mark < registry_.mark())
-    told_mark_ = ~0ull;
-  Beat beat;
-  if (!follow.locality.empty())
-    take_pooler(from, follow, broker, beat, now);
+  if (broker.wants_endpoints && broker.sent_revision < registry_.revision())
+    notified_revision_ = ~0ull;
+  ControlHeartbeat heartbeat;
+  if (!follow.zone.empty())
+    handle_pooler(from, follow, broker, heartbeat, now);
   else
-    take_ring_follow(from, follow, beat, now);
-  if (startup_.has_edges && !broker.is_pooler)
-    take_edge_follow(follow, broker);
-  send_beat(broker, true, now, std::move(beat));
+    handle_ring_subscription(from, follow, heartbeat, now);
+  if (settings_.has_edges && !broker.is_pooler)
+    handle_edge_subscription(follow, broker);
+  send_heartbeat(broker, true, now, std::move(heartbeat));
   if (follow.wants_body && configuration_ && configuration_->version > follow.version)
-    hub_.send(route, encode(head(), Body{configuration_->version, packed_}));
-  if (follow.wants_roster && broker.sent_mark == 0 && registry_.mark() == 0)
-    hub_.send(route, encode(head(), registry_.since(0, now)));
+    frame_server_.send(routing_id,
+                       encode(head(), ConfigurationPayload{configuration_->version, packed_}));
+  if (follow.wants_endpoints && broker.sent_revision == 0 && registry_.revision() == 0)
+    frame_server_.send(routing_id, encode(head(), registry_.since(0, now)));
 }
 
 // Changes go out at once; whoever missed some says so with its next follow.
-void Core::tend_brokers(Moment now) {
+void ControlLoop::update_brokers(TimePoint now) {
   if (now >= counted_) {
     counted_ = now + count_every;
     if (std::erase_if(brokers_, [&](const auto& broker) {
-          return now - broker.second.heard > broker_silence;
+          return now - broker.second.last_contact > broker_timeout;
         }))
       are_seats_old_ = true;
     remember_brokers(now);
   }
-  if (told_mark_ == registry_.mark())
+  if (notified_revision_ == registry_.revision())
     return;
   bool has_all = true;
   for (auto& [from, broker] : brokers_) {
-    if (!broker.wants_roster || broker.sent_mark >= registry_.mark())
+    if (!broker.wants_endpoints || broker.sent_revision >= registry_.revision())
       continue;
-    if (delta_.base != broker.sent_mark || delta_.mark != registry_.mark() || delta_.bytes.empty())
-      delta_ = {broker.sent_mark, registry_.mark(),
-                encode(head(), registry_.since(broker.sent_mark, now))};
-    if (hub_.send(broker.route, delta_.bytes))
-      broker.sent_mark = registry_.mark();
+    if (delta_.base != broker.sent_revision || delta_.revision != registry_.revision() ||
+        delta_.bytes.empty())
+      delta_ = {broker.sent_revision, registry_.revision(),
+                encode(head(), registry_.since(broker.sent_revision, now))};
+    if (frame_server_.send(broker.routing_id, delta_.bytes))
+      broker.sent_revision = registry_.revision();
     else
       has_all = false;
   }
   if (has_all)
-    told_mark_ = registry_.mark();
+    notified_revision_ = registry_.revision();
 }
 
 // After a loss of all power every broker is the first one heard. What each may open is by the
 // number that there was.
-void Core::remember_brokers(Moment now) {
-  if (const EntrySnapshot& committed = agreement_.committed()) {
-    const auto sheet = committed->sheets.find(fleet_sheet);
-    ByteReader reader(sheet != committed->sheets.end() ? std::string_view(sheet->second)
-                                                       : std::string_view());
-    if (const std::uint64_t count = reader.number(); reader.is_whole())
+void ControlLoop::remember_brokers(TimePoint now) {
+  if (const EntrySnapshot& committed = raft_.committed()) {
+    const auto document = committed->documents.find(broker_count_document);
+    ByteReader reader(document != committed->documents.end() ? std::string_view(document->second)
+                                                             : std::string_view());
+    if (const std::uint64_t count = reader.number(); reader.is_complete())
       remembered_brokers_ = count;
   }
   const std::uint64_t count = brokers_.size();
   const std::uint64_t off =
       count > remembered_brokers_ ? count - remembered_brokers_ : remembered_brokers_ - count;
-  const bool differs = agreement_.is_leader() && agreement_.is_leased(now) &&
-                       now - born_ > start_span && count > 0 && off * 4 > remembered_brokers_;
+  const bool differs = raft_.is_leader() && raft_.is_leased(now) && now - born_ > start_span &&
+                       count > 0 && off * 4 > remembered_brokers_;
   if (!differs)
     count_differs_since_ = now;
   if (now - count_differs_since_ < settle_span)
     return;
   count_differs_since_ = now;
-  agreement_.propose_sheet(fleet_sheet, Writer().number(count).take(), fleet_token, now);
+  raft_.propose_document(broker_count_document, Writer().number(count).take(), fleet_token, now);
 }
 
-void Core::tend_rollout(Moment now) {
-  if (!rollout_.is_pending() || (agreement_.is_leader() && !agreement_.is_leased(now)))
+void ControlLoop::advance_rollout(TimePoint now) {
+  if (!rollout_.is_pending() || (raft_.is_leader() && !raft_.is_leased(now)))
     return;
   std::vector<Version> held;
   for (const auto& [from, broker] : brokers_)
     held.push_back(broker.held);
-  const Rollout::Turn turn = rollout_.advance(held, now);
-  if (turn == Rollout::Turn::none)
+  const VersionRollout::Turn turn = rollout_.advance(held, now);
+  if (turn == VersionRollout::Turn::none)
     return;
   steps_.note(rollout_.in_force(),
-              turn == Rollout::Turn::held_by_all ? "held by all" : "waited enough", now);
+              turn == VersionRollout::Turn::held_by_all ? "held by all" : "waited enough", now);
   for (auto& [from, broker] : brokers_)
-    send_beat(broker, false, now);
+    send_heartbeat(broker, false, now);
 }
 
-void Core::take_trace(const std::string& route, Moment now) {
+void ControlLoop::handle_trace(const std::string& routing_id, TimePoint now) {
   Traced traced;
-  traced.node = startup_.node_name;
+  traced.node = settings_.node_name;
   traced.role = "registry";
-  if (agreement_.committed())
-    traced.held = agreement_.committed()->version;
-  traced.is_leader = agreement_.is_leader();
+  if (raft_.committed())
+    traced.held = raft_.committed()->version;
+  traced.is_leader = raft_.is_leader();
   traced.steps = steps_.tell(now);
-  traced.registries = agreement_.known_addresses();
+  traced.registries = raft_.known_addresses();
   traced.registries.push_back(address_);
   for (const auto& [from, broker] : brokers_)
     traced.brokers.push_back(from);
-  hub_.send(route, encode(head(), traced));
+  frame_server_.send(routing_id, encode(head(), traced));
 }
 
 }  // namespace saddlewing
--- a/src/programs/core_ring.cpp
+++ b/src/programs/core_ring.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr std::uint64_t ring_token = ~0ull - 1;  // of a proposed sheet
-constexpr Span ring_every{200}, watch_every{5000};
-constexpr Span counts_are_in{3000};   // a broker that told nothing for longer is missing
-constexpr double most_late = 0.02;    // of short lookups; more, and moves pause
-constexpr double kept_lookups = 0.8;  // of their counts, each turn
+constexpr Duration ring_every{200}, watch_every{5000};
+constexpr Duration counts_are_in{3000};  // a broker that told nothing for longer is missing
+constexpr double max_late = 0.02;        // of short lookups; more, and moves pause
+constexpr double kept_lookups = 0.8;     // of their counts, each turn
 
 std::string write(const Json::Value& value) {
   Json::StreamWriterBuilder builder;
@@ -27,7 +27,7 @@
 
 Json::Value show(const RingLoad& load) {
   Json::Value value(Json::objectValue);
-  value["askings"] = std::round(load.askings);
+  value["askings"] = std::round(load.attempts);
   value["busy_ms"] = std::round(load.busy_ms);
   value["bytes"] = std::round(load.bytes);
   return value;
@@ -60,43 +60,43 @@
 
 }  // namespace
 
-MoveOptions move_options(const Startup& startup) {
+MoveOptions move_options(const NodeSettings& settings) {
   MoveOptions options;
-  options.lease = startup.lead_hold;
-  options.settle = startup.lead_hold + startup.election + Span(100);
+  options.lease = settings.leadership_lease;
+  options.settle = settings.leadership_lease + settings.election + Duration(100);
   return options;
 }
 
-Fault Core::check_ring(const std::string& file, RingMap& ring) const {
+Error ControlLoop::check_ring(const std::string& file, RingMap& ring) const {
   if (!configuration_)
-    return fault(Kind::no_leader, "no configuration was taken yet");
+    return make_error(ErrorCode::no_leader, "no configuration was taken yet");
   return check_ring_file(file, *configuration_, ring);
 }
 
 // Nothing of the nodes is forgotten before the last request that may still come there.
-void Core::bound_ring_reads() {
+void ControlLoop::bound_ring_reads() {
   if (!configuration_)
     return;
-  Span read{0}, gather{0};
+  Duration read{0}, gather{0};
   const auto is_node = [&](ServiceIndex service) {
     return ring_.index_of(configuration_->services[service.value].name) < ring_.nodes.size();
   };
-  for (const Rule& rule : configuration_->rules) {
-    if (std::any_of(rule.shares.begin(), rule.shares.end(),
+  for (const Route& route : configuration_->routes) {
+    if (std::any_of(route.shares.begin(), route.shares.end(),
                     [&](const Share& share) { return is_node(share.service); }))
-      read = std::max(read, rule.give_up);
-    if (std::any_of(rule.shards.begin(), rule.shards.end(), is_node))
-      gather = std::max(gather, rule.give_up);
+      read = std::max(read, route.give_up);
+    if (std::any_of(route.shards.begin(), route.shards.end(), is_node))
+      gather = std::max(gather, route.give_up);
   }
-  ring_moves_.set_longest(std::max(read, gather), gather);
+  shard_migration_.set_max_read_duration(std::max(read, gather), gather);
 }
 
-std::string Core::show_ring(bool has_proposals, Moment now) {
-  const RingReport report = ring_watch_.report(ring_, ring_loads_.sums(ring_.owners.size(), now),
-                                               account_loads_.sums(now));
+std::string ControlLoop::show_ring(bool has_proposals, TimePoint now) {
+  const RingReport report = ring_load_monitor_.report(
+      ring_, ring_loads_.sums(ring_.owners.size(), now), account_loads_.sums(now));
   Json::Value root(Json::objectValue);
   root["edition"] = Json::Int64(ring_.version.value);
-  root["mark"] = Json::UInt64(ring_sheet_.mark);
+  root["mark"] = Json::UInt64(ring_document_.revision);
   root["balanced"] = report.is_balanced();
   root["enough"] = report.is_enough;
   for (const NodeReport& node : report.nodes) {
@@ -114,9 +114,9 @@
     value["node"] = ring_.owner(virtual_node).name;
     root["virtual_nodes"].append(value);
   }
-  constexpr std::size_t most_shown = 20;
+  constexpr std::size_t max_shown = 20;
   for (const auto& [account, load] : report.accounts) {
-    if (root["accounts"].size() >= most_shown)
+    if (root["accounts"].size() >= max_shown)
       break;
     Json::Value value = show(load);
     value["account"] = account;
@@ -147,7 +147,7 @@
   return write(root);
 }
 
-RingAnswer Core::answer_move(const RingCall& call, Moment now) {
+RingAnswer ControlLoop::answer_move(const RingCall& call, TimePoint now) {
   RingUnit unit;
   std::string to;
   if (!read_move(call.text, unit, to))
@@ -170,44 +170,44 @@
     benefit /= 1 + move_cost(ring_, unit, ring_.owner_of(unit), taker, {});
   }
   const std::string reason =
-      ring_moves_.request(unit, to, ring_, serving, call.verb == "queue", benefit);
+      shard_migration_.request(unit, to, ring_, serving, call.verb == "queue", benefit);
   if (!reason.empty())
     return {false, {}, reason, {}};
   return {true, {}, {}, "{}"};
 }
 
-RingAnswer Core::answer_ring(const RingCall& call, Moment now) {
+RingAnswer ControlLoop::answer_ring(const RingCall& call, TimePoint now) {
   const auto refuse = [](const std::string& reason) {
     return RingAnswer{false, {}, reason, {}};
   };
-  if (!agreement_.is_leader())
-    return {false, agreement_.leader_address(), "another registry leads", {}};
-  if (!agreement_.is_leased(now))
+  if (!raft_.is_leader())
+    return {false, raft_.leader_address(), "another registry leads", {}};
+  if (!raft_.is_leased(now))
     return refuse("no majority of the core answers");
   if (call.verb == "edges")
-    return startup_.has_edges ? RingAnswer{true, {}, {}, show_edges(now)}
-                              : refuse("the view of edges is off (options.edges)");
+    return settings_.has_edges ? RingAnswer{true, {}, {}, show_edges(now)}
+                               : refuse("the view of edges is off (options.edges)");
   if (call.verb == "apply") {
     RingMap ring;
-    if (Fault found = check_ring(call.text, ring))
+    if (Error found = check_ring(call.text, ring))
       return refuse(found.step);
     if (ring.version <= ring_.version)
       return refuse("edition: " + std::to_string(ring_.version.value) +
                     " is in force, a higher one is needed");
-    if (std::any_of(ring_moves_.moves().begin(), ring_moves_.moves().end(),
+    if (std::any_of(shard_migration_.moves().begin(), shard_migration_.moves().end(),
                     [](const RingMove& move) { return move.is_open(); }))
       return refuse("a move is under way");
-    for (const auto& [account, node] : ring_sheet_.placed)
+    for (const auto& [account, node] : ring_document_.placed)
       if (ring.index_of(node) == ring.nodes.size())
         return refuse("nodes: " + node + " is missing, and account " + account +
                       " is placed there");
-    RingSheet next = ring_sheet_;
-    next.mark = ring_sheet_.mark + 1;
+    RingDocument next = ring_document_;
+    next.revision = ring_document_.revision + 1;
     next.file = call.text;
-    agreement_.propose_sheet(ring_sheet, encode_ring(next), ring_token, now);
+    raft_.propose_document(ring_document, encode_ring(next), ring_token, now);
     return {true, {}, {}, "{\"edition\":" + std::to_string(ring.version.value) + "}"};
   }
-  if (!ring_sheet_.mark)
+  if (!ring_document_.revision)
     return refuse("no ring is in force");
   if (call.verb == "report" || call.verb == "propose")
     return {true, {}, {}, show_ring(call.verb == "propose", now)};
@@ -217,46 +217,48 @@
     if (call.text.empty() || call.text.size() > 15 ||
         call.text.find_first_not_of("0123456789") != std::string::npos)
       return refuse("undo needs a move's number");
-    const std::string reason = ring_moves_.undo(std::stoull(call.text));
+    const std::string reason = shard_migration_.undo(std::stoull(call.text));
     return reason.empty() ? RingAnswer{true, {}, {}, "{}"} : refuse(reason);
   }
   if (call.verb != "status")
     return refuse("unknown call " + call.verb);
   Json::Value root(Json::objectValue);
-  root["paused"] = ring_moves_.is_paused();
+  root["paused"] = shard_migration_.is_paused();
   root["placed"] = Json::UInt64(ring_.placed.size());
-  for (const RingMove& move : ring_moves_.moves()) {
+  for (const RingMove& move : shard_migration_.moves()) {
     Json::Value value(Json::objectValue);
     value["move"] = Json::UInt64(move.id);
     show_unit(value, move.unit);
     value["from"] = move.from;
     value["to"] = move.to;
     value["step"] = name_of(move.step);
-    value["copied"] = ring_moves_.progress(move.id);
+    value["copied"] = shard_migration_.progress(move.id);
     value["benefit"] = move.benefit;
-    value["why"] = ring_moves_.why(move.id);
+    value["why"] = shard_migration_.why(move.id);
     root["moves"].append(value);
   }
   return {true, {}, {}, write(root)};
 }
 
-void Core::take_ring_call(const std::string& route, const RingCall& call, Moment now) {
-  hub_.send(route, encode(head(), answer_ring(call, now)));
+void ControlLoop::handle_ring_call(const std::string& routing_id, const RingCall& call,
+                                   TimePoint now) {
+  frame_server_.send(routing_id, encode(head(), answer_ring(call, now)));
 }
 
-void Core::take_ring_follow(const FrameHead& from, const Follow& follow, Beat& beat, Moment now) {
-  if (!ring_sheet_.mark)
+void ControlLoop::handle_ring_subscription(const FrameHead& from, const SubscribeRequest& follow,
+                                           ControlHeartbeat& heartbeat, TimePoint now) {
+  if (!ring_document_.revision)
     return;
-  if (!agreement_.is_leased(now))
+  if (!raft_.is_leased(now))
     return;
-  beat.ring_mark = ring_sheet_.mark;
-  if (follow.ring_held < ring_sheet_.mark)
-    beat.ring = ring_text_;
+  heartbeat.ring_revision = ring_document_.revision;
+  if (follow.ring_held < ring_document_.revision)
+    heartbeat.ring = ring_text_;
   if (should_leave_)
     return;
-  ring_moves_.holders().note(from.from, from.life, follow.ring_mark, now);
-  beat.hold =
-      static_cast<std::uint64_t>(ring_moves_.holders().grant(from.from, from.life, now).count());
+  shard_migration_.leases().note(from.from, from.incarnation, follow.ring_revision, now);
+  heartbeat.lease = static_cast<std::uint64_t>(
+      shard_migration_.leases().grant(from.from, from.incarnation, now).count());
   std::vector<std::pair<VirtualNode, RingLoad>> loads;
   if (decode_loads(follow.ring_loads, loads))
     for (const auto& [virtual_node, load] : loads)
@@ -271,48 +273,48 @@
   late_lookups_ += static_cast<double>(follow.late_lookups);
 }
 
-void Core::tend_ring(Moment now) {
-  const EntrySnapshot& committed = agreement_.committed();
+void ControlLoop::update_ring(TimePoint now) {
+  const EntrySnapshot& committed = raft_.committed();
   if (committed && committed != ring_seen_) {
     ring_seen_ = committed;
-    const auto sheet = committed->sheets.find(ring_sheet);
-    RingSheet read;
+    const auto document = committed->documents.find(ring_document);
+    RingDocument read;
     RingMap ring;
-    if (sheet != committed->sheets.end() && decode_ring(sheet->second, read) &&
-        read.mark > ring_sheet_.mark && !ring_of(read, ring)) {
-      ring_sheet_ = std::move(read);
+    if (document != committed->documents.end() && decode_ring(document->second, read) &&
+        read.revision > ring_document_.revision && !ring_of(read, ring)) {
+      ring_document_ = std::move(read);
       ring_ = std::move(ring);
-      ring_text_ = sheet->second;
+      ring_text_ = document->second;
       for (auto& [from, broker] : brokers_) {
-        if (broker.is_pooler || !agreement_.is_leased(now))
+        if (broker.is_pooler || !raft_.is_leased(now))
           continue;
-        Beat beat;
-        beat.ring_mark = ring_sheet_.mark;
-        beat.ring = ring_text_;
-        send_beat(broker, false, now, std::move(beat));
+        ControlHeartbeat heartbeat;
+        heartbeat.ring_revision = ring_document_.revision;
+        heartbeat.ring = ring_text_;
+        send_heartbeat(broker, false, now, std::move(heartbeat));
       }
     }
   }
-  if (!ring_sheet_.mark || now < ring_due_)
+  if (!ring_document_.revision || now < ring_due_)
     return;
   ring_due_ = now + ring_every;
-  if (!agreement_.is_leader())
-    return ring_moves_.tick(false, ring_sheet_, ring_, true, now);
-  if (!agreement_.is_leased(now))
+  if (!raft_.is_leader())
+    return shard_migration_.tick(false, ring_document_, ring_, true, now);
+  if (!raft_.is_leased(now))
     return;
-  const bool are_lookups_well = late_lookups_ <= most_late * std::max(50.0, lookups_);
+  const bool are_lookups_well = late_lookups_ <= max_late * std::max(50.0, lookups_);
   lookups_ *= kept_lookups;
   late_lookups_ *= kept_lookups;
   bound_ring_reads();
-  ring_moves_.tick(true, ring_sheet_, ring_, are_lookups_well, now);
-  RingMoves::Output output = ring_moves_.take();
+  shard_migration_.tick(true, ring_document_, ring_, are_lookups_well, now);
+  ShardMigration::Output output = shard_migration_.take();
   for (const std::string& news : output.news)
     LOG(INFO) << "ring: " << news;
-  for (const RingMoves::Order& order : output.orders) {
+  for (const ShardMigration::Order& order : output.orders) {
     Json::Value value(Json::objectValue);
     value["interface"] = node_interface;
     value["move"] = Json::UInt64(order.move);
-    value["mark"] = Json::UInt64(order.mark);
+    value["mark"] = Json::UInt64(order.revision);
     value["what"] = order.what;
     show_unit(value, order.unit);
     if (order.what == "finish")
@@ -324,31 +326,25 @@
         if (line.entry.service == node && line.entry.phase == Phase::ready &&
             line.entry.status == Status::up)
           return line.entry;
-      return RosterEntry{};
+      return Endpoint{};
     };
     value["other"] = address_of(order.other).address;
-    const RosterEntry entry = address_of(order.node);
-    EnvoyOrder sent{order.token,
-                    order.node,
-                    entry.id,
-                    entry.address,
-                    {},
-                    write(value),
-                    agreement_.term().value,
-                    agreement_.lease_until()};
-    if (!envoy_->order(std::move(sent)))
-      ring_moves_.finish_order(order.token, {});
+    const Endpoint entry = address_of(order.node);
+    DispatchedCommand sent{order.token, order.node,   entry.id,           entry.address,
+                           {},          write(value), raft_.term().value, raft_.lease_until()};
+    if (!dispatcher_->order(std::move(sent)))
+      shard_migration_.finish_order(order.token, {});
   }
   if (output.proposal)
-    agreement_.propose_sheet(ring_sheet, encode_ring(*output.proposal), ring_token, now);
+    raft_.propose_document(ring_document, encode_ring(*output.proposal), ring_token, now);
   metrics().set(Metric::ring_moves,
-                std::count_if(ring_moves_.moves().begin(), ring_moves_.moves().end(),
+                std::count_if(shard_migration_.moves().begin(), shard_migration_.moves().end(),
                               [](const RingMove& move) { return move.is_open(); }));
   if (now - ring_watched_ < watch_every)
     return;
   ring_watched_ = now;
-  const RingReport report = ring_watch_.report(ring_, ring_loads_.sums(ring_.owners.size(), now),
-                                               account_loads_.sums(now));
+  const RingReport report = ring_load_monitor_.report(
+      ring_, ring_loads_.sums(ring_.owners.size(), now), account_loads_.sums(now));
   std::string over;
   for (const NodeReport& node : report.nodes)
     if (node.is_over)
--- a/src/programs/core_status.cpp
+++ b/src/programs/core_status.cpp
@@ -3,10 +3,10 @@
 
 namespace saddlewing {
 
-void Core::tell_status(const std::string& route, Moment now) {
-  CoreStatus status = agreement_.status(now);
-  status.node = startup_.node_name;
-  hub_.send(route, encode(head(), status));
+void ControlLoop::send_status(const std::string& routing_id, TimePoint now) {
+  ClusterStatus status = raft_.status(now);
+  status.node = settings_.node_name;
+  frame_server_.send(routing_id, encode(head(), status));
 }
 
 }  // namespace saddlewing
--- a/src/programs/desk.h
+++ b/src/programs/desk.h
@@ -10,41 +10,41 @@
 
 namespace saddlewing {
 
-class Desk final : public Server::Handler {
+class OperatorApi final : public HttpServer::Handler {
  public:
-  Desk(const Startup& startup, Ring<CoreEvent>& events);
-  Fault open();
+  OperatorApi(const NodeSettings& settings, BoundedQueue<ControlEvent>& events);
+  Error open();
   void start();
   void stop();
-  void tell(OperatorOutcome outcome) {
+  void tell(OperatorReply outcome) {
     outcomes_.push(std::move(outcome));
   }
 
-  void on_request(Visit& visit, Moment now) override;
-  void on_gone(Visit&) override {
+  void on_request(ServerExchange& exchange, TimePoint now) override;
+  void on_gone(ServerExchange&) override {
   }
 
  private:
   struct Open final : Scheduled {
-    Desk* desk = nullptr;
+    OperatorApi* operator_api = nullptr;
     std::uint64_t token = 0;
-    VisitId visit;
+    ExchangeId exchange;
     bool is_read = false;
-    void on_due(Moment now) override;
+    void on_due(TimePoint now) override;
   };
   void run();
-  void take_outcomes(Moment now);
-  std::uint64_t open_call(Visit& visit, bool is_read, Moment now);
-  void take_backend(Visit& visit, Moment now);
-  void refer(Visit& visit, OperatorCall call, Moment now);
-  void finish(std::uint64_t token, Reply reply, Moment now);
+  void handle_replies(TimePoint now);
+  std::uint64_t open_call(ServerExchange& exchange, bool is_read, TimePoint now);
+  void handle_backend_call(ServerExchange& exchange, TimePoint now);
+  void refer(ServerExchange& exchange, OperatorCall call, TimePoint now);
+  void finish(std::uint64_t token, Reply reply, TimePoint now);
 
   Address address_;
-  Ring<CoreEvent>& events_;
+  BoundedQueue<ControlEvent>& events_;
   Poller poller_;
-  Schedule schedule_;
-  Server server_;
-  Ring<OperatorOutcome> outcomes_;
+  TimerQueue timers_;
+  HttpServer server_;
+  BoundedQueue<OperatorReply> outcomes_;
   std::map<std::uint64_t, Open> open_;
   std::uint64_t last_token_ = 0;
   std::atomic<bool> should_stop_ = false;
--- a/src/programs/edges_program.cpp
+++ b/src/programs/edges_program.cpp
@@ -37,7 +37,7 @@
 
 int run_edges(const std::vector<std::string>& contacts, bool is_json, int wait_ms) {
   RingAnswer answer;
-  if (!ask_leader(contacts, RingCall{"edges", {}}, Span(wait_ms), answer)) {
+  if (!ask_leader(contacts, RingCall{"edges", {}}, Duration(wait_ms), answer)) {
     std::cerr << "edges: no registry that leads answered within " << wait_ms << " ms\n";
     return failed;
   }
--- a/src/programs/envoy.cpp
+++ b/src/programs/envoy.cpp
@@ -10,15 +10,15 @@
 namespace saddlewing {
 namespace {
 
-constexpr Span database_wait{600}, platform_wait{2500};
+constexpr Duration database_wait{600}, platform_wait{2500};
 
 NodeAnswer read_node_answer(int status, const std::string& body) {
   NodeAnswer answer;
   Json::Value value;
   std::string reason;
   if (status < 200 || status > 299)
-    return answer.kind = NodeAnswer::Kind::refused, answer;
-  answer.kind = NodeAnswer::Kind::garbled;
+    return answer.type = NodeAnswer::Type::refused, answer;
+  answer.type = NodeAnswer::Type::garbled;
   if (!read_json(body, value, reason) || !value.isObject() || !value["is_done"].isBool())
     return answer;
   for (const char* name : {"interface", "position"})
@@ -27,7 +27,7 @@
   if (value.isMember("share") && (!value["share"].isNumeric() || !(value["share"].asDouble() >= 0 &&
                                                                    value["share"].asDouble() <= 1)))
     return answer;
-  answer.kind = NodeAnswer::Kind::told;
+  answer.type = NodeAnswer::Type::told;
   answer.is_done = value["is_done"].asBool();
   answer.share = value.get("share", 0).asDouble();
   answer.interface =
@@ -41,158 +41,161 @@
 
 }  // namespace
 
-Envoy::Envoy(const Startup& startup, Ring<CoreEvent>& events)
-    : startup_(startup), events_(events), orders_(1024, [this] { poller_.wake(); }) {
+CommandDispatcher::CommandDispatcher(const NodeSettings& settings,
+                                     BoundedQueue<ControlEvent>& events)
+    : settings_(settings), events_(events), orders_(1024, [this] { poller_.wake(); }) {
 }
 
-void Envoy::start() {
+void CommandDispatcher::start() {
   thread_ = std::thread([this] { run(); });
 }
 
-void Envoy::stop() {
+void CommandDispatcher::stop() {
   should_stop_ = true;
   poller_.wake();
   if (thread_.joinable())
     thread_.join();
 }
 
-void Envoy::run() {
+void CommandDispatcher::run() {
   while (!should_stop_) {
-    poller_.poll(schedule_.until_next(Clock::now(), Span(1000)));
-    const Moment now = Clock::now();
-    for (EnvoyOrder& order : orders_.take())
+    poller_.poll(timers_.until_next(Clock::now(), Duration(1000)));
+    const TimePoint now = Clock::now();
+    for (DispatchedCommand& order : orders_.take())
       begin(std::move(order), now);
-    schedule_.run(now);
-    std::erase_if(errands_, [](const auto& errand) { return errand->is_over; });
+    timers_.run(now);
+    std::erase_if(commands_, [](const auto& command) { return command->is_over; });
   }
 }
 
-bool Envoy::is_leased(const EnvoyOrder& order, Moment now) const {
+bool CommandDispatcher::is_leased(const DispatchedCommand& order, TimePoint now) const {
   if (now < order.until)
     return true;
-  const Moment until{Moment::duration(lease_until_.load())};
+  const TimePoint until{TimePoint::duration(lease_until_.load())};
   return now < until && lease_term_ == order.owner_number;
 }
 
 // Nothing leaves once the lease is over under which it was decided: not here, and not when a
 // connection stands later.
-void Envoy::begin(EnvoyOrder order, Moment now) {
-  errands_.push_back(std::make_unique<Errand>(*this, std::move(order)));
-  Errand& errand = *errands_.back();
-  if (!is_leased(errand.order, now))
-    return finish(errand, 0);
-  if (!errand.order.node_order.empty())
-    return begin_node(errand, now);
-  if (!errand.order.text.empty()) {
-    schedule_.set(errand, now + database_wait);
-    errand.link = std::make_unique<WireLink>(
-        poller_, WireLink::Owner{[this, &errand](WireMessage&& message) {
-                                   return take(errand, std::move(message));
-                                 },
-                                 [this, &errand](WireStep) {
-                                   finish(errand, 0);
-                                 }});
+void CommandDispatcher::begin(DispatchedCommand order, TimePoint now) {
+  commands_.push_back(std::make_unique<PendingCommand>(*this, std::move(order)));
+  PendingCommand& command = *commands_.back();
+  if (!is_leased(command.order, now))
+    return finish(command, 0);
+  if (!command.order.node_order.empty())
+    return begin_node(command, now);
+  if (!command.order.text.empty()) {
+    timers_.set(command, now + database_wait);
+    command.link = std::make_unique<DatabaseTransport>(
+        poller_, DatabaseTransport::Owner{[this, &command](WireMessage&& message) {
+                                            return take(command, std::move(message));
+                                          },
+                                          [this, &command](WireStep) {
+                                            finish(command, 0);
+                                          }});
     Address address;
-    if (!parse_address(errand.order.address, address) || !errand.link->connect(address) ||
-        !errand.link->send(
-            wire(WireKind::connect, {errand.order.service, "saddlewing", errand.order.id})))
-      finish(errand, 0);
+    if (!parse_address(command.order.address, address) || !command.link->connect(address) ||
+        !command.link->send(encode_message(
+            WireKind::connect, {command.order.service, "saddlewing", command.order.id})))
+      finish(command, 0);
     return;
   }
-  schedule_.set(errand, now + platform_wait);
+  timers_.set(command, now + platform_wait);
   Json::Value value(Json::objectValue);
-  value["service"] = errand.order.service;
-  value["id"] = errand.order.id;
+  value["service"] = command.order.service;
+  value["id"] = command.order.id;
   Json::StreamWriterBuilder builder;
   builder["indentation"] = "";
   const std::string body = Json::writeString(builder, value);
-  const CallRow& row = row_of(Call::raise);
-  const std::string fields = std::string(field::duty_owner) + ": " + startup_.node_name + "\r\n" +
+  const CallRow& row = row_of(Call::promote);
+  const std::string fields = std::string(field::duty_owner) + ": " + settings_.node_name + "\r\n" +
                              field::owner_number + ": " +
-                             std::to_string(errand.order.owner_number) + "\r\n";
-  call(errand, startup_.platform, row, fields, body);
+                             std::to_string(command.order.owner_number) + "\r\n";
+  call(command, settings_.platform, row, fields, body);
 }
 
-void Envoy::begin_node(Errand& errand, Moment now) {
-  schedule_.set(errand, now + database_wait);
+void CommandDispatcher::begin_node(PendingCommand& command, TimePoint now) {
+  timers_.set(command, now + database_wait);
   Address address;
-  if (!parse_address(errand.order.address, address))
-    return finish(errand, 0);
-  call(errand, address, row_of(Call::move_step),
-       std::string(field::meant_server) + ": " + errand.order.id + "\r\n", errand.order.node_order);
+  if (!parse_address(command.order.address, address))
+    return finish(command, 0);
+  call(command, address, row_of(Call::move_step),
+       std::string(field::meant_server) + ": " + command.order.id + "\r\n",
+       command.order.node_order);
 }
 
-void Envoy::call(Errand& errand, const Address& address, const CallRow& row,
-                 const std::string& fields, const std::string& body) {
+void CommandDispatcher::call(PendingCommand& command, const Address& address, const CallRow& row,
+                             const std::string& fields, const std::string& body) {
   std::string request = std::string(row.method) + " " + std::string(row.path) +
                         " HTTP/1.1\r\nHost: " + address.text() + "\r\n" + fields;
   request += "Content-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) +
              "\r\n\r\n" + body;
-  errand.caller = std::make_unique<Caller>(poller_, errand, address, 16384, 65536);
-  const Moment latest = errand.order.node_order.empty() ? errand.order.until : Moment::max();
-  if (!errand.caller->ask(request, false, {}, latest))
-    finish(errand, 0);
+  command.caller = std::make_unique<HttpClientConnection>(poller_, command, address, 16384, 65536);
+  const TimePoint latest =
+      command.order.node_order.empty() ? command.order.until : TimePoint::max();
+  if (!command.caller->ask(request, false, {}, latest))
+    finish(command, 0);
 }
 
-bool Envoy::take(Errand& errand, WireMessage&& message) {
-  if (errand.is_over)
+bool CommandDispatcher::take(PendingCommand& command, WireMessage&& message) {
+  if (command.is_over)
     return false;
   if (message.kind == WireKind::error)
-    finish(errand, 0);
+    finish(command, 0);
   if (message.kind == WireKind::row)
-    errand.row = message.field(0);
-  if (message.kind != WireKind::ready || errand.is_over)
-    return !errand.is_over;
-  if (errand.is_greeted)
-    finish(errand, 200);
-  else if (!is_leased(errand.order, Clock::now()) ||
-           !errand.link->send(wire_ask("-", errand.order.text)))
-    finish(errand, 0);
-  errand.is_greeted = true;
-  return !errand.is_over;
+    command.row = message.field(0);
+  if (message.kind != WireKind::ready || command.is_over)
+    return !command.is_over;
+  if (command.is_greeted)
+    finish(command, 200);
+  else if (!is_leased(command.order, Clock::now()) ||
+           !command.link->send(wire_ask("-", command.order.text)))
+    finish(command, 0);
+  command.is_greeted = true;
+  return !command.is_over;
 }
 
-void Envoy::finish(Errand& errand, int status) {
-  if (errand.is_over)
+void CommandDispatcher::finish(PendingCommand& command, int status) {
+  if (command.is_over)
     return;
-  errand.is_over = true;
-  schedule_.drop(errand);
-  if (!errand.order.node_order.empty()) {
-    const bool is_heard = status != 0 && errand.caller;
-    NodeTold told{errand.order.token, is_heard
-                                          ? read_node_answer(status, errand.caller->reader().body())
-                                          : NodeAnswer{}};
+  command.is_over = true;
+  timers_.drop(command);
+  if (!command.order.node_order.empty()) {
+    const bool is_reachable = status != 0 && command.caller;
+    NodeTold told{
+        command.order.token,
+        is_reachable ? read_node_answer(status, command.caller->reader().body()) : NodeAnswer{}};
     events_.push(std::move(told));
     return;
   }
-  if (errand.caller) {
-    LOG(INFO) << "envoy: the platform was told that " << errand.order.id << " is to lead "
-              << errand.order.service << ": " << (status ? std::to_string(status) : "no answer");
-    events_.push(Raised{errand.order.token, status});
+  if (command.caller) {
+    LOG(INFO) << "envoy: the platform was told that " << command.order.id << " is to lead "
+              << command.order.service << ": " << (status ? std::to_string(status) : "no answer");
+    events_.push(PromotionResult{command.order.token, status});
     return;
   }
-  if (errand.order.text.empty()) {
-    events_.push(Raised{errand.order.token, 0});
+  if (command.order.text.empty()) {
+    events_.push(PromotionResult{command.order.token, 0});
     return;
   }
-  Examined examined{errand.order.token, std::nullopt};
+  Examined examined{command.order.token, std::nullopt};
   DatabaseStatus read;
-  if (status == 200 && read_status(errand.row, read))
+  if (status == 200 && read_status(command.row, read))
     examined.status = read;
   events_.push(std::move(examined));
-  errand.link->close();
+  command.link->close();
 }
 
-void Envoy::Errand::on_due(Moment) {
+void CommandDispatcher::PendingCommand::on_due(TimePoint) {
   if (caller)
     caller->abort();
-  envoy.finish(*this, 0);
+  dispatcher.finish(*this, 0);
 }
-void Envoy::Errand::on_outcome(Caller& from, Moment) {
-  envoy.finish(*this, from.reader().response().getStatus());
+void CommandDispatcher::PendingCommand::on_response(HttpClientConnection& from, TimePoint) {
+  dispatcher.finish(*this, from.reader().response().getStatus());
 }
-void Envoy::Errand::on_breakdown(Caller&, Kind, Moment) {
-  envoy.finish(*this, 0);
+void CommandDispatcher::PendingCommand::on_failure(HttpClientConnection&, ErrorCode, TimePoint) {
+  dispatcher.finish(*this, 0);
 }
 
 }  // namespace saddlewing
--- a/src/programs/envoy.h
+++ b/src/programs/envoy.h
@@ -15,62 +15,63 @@
 
 namespace saddlewing {
 
-class Envoy {
+class CommandDispatcher {
  public:
-  Envoy(const Startup& startup, Ring<CoreEvent>& events);
+  CommandDispatcher(const NodeSettings& settings, BoundedQueue<ControlEvent>& events);
   void start();
   void stop();
   // The lease as it stands; Moment{}: none. Orders of its term go on by it beyond their own
   // `until`.
-  void set_lease(Term term, Moment until) {
+  void set_lease(Term term, TimePoint until) {
     if (lease_term_ != term.value)
-      lease_until_ = Moment::duration::rep{0};
+      lease_until_ = TimePoint::duration::rep{0};
     lease_term_ = term.value;
     lease_until_ = until.time_since_epoch().count();
   }
-  bool order(EnvoyOrder order) {
+  bool order(DispatchedCommand order) {
     return orders_.push(std::move(order));
   }
 
  private:
   // One order under way, over a connection of its own.
-  struct Errand final : Scheduled, CallOwner {
-    Errand(Envoy& envoy, EnvoyOrder order) : envoy(envoy), order(std::move(order)) {
+  struct PendingCommand final : Scheduled, HttpCallObserver {
+    PendingCommand(CommandDispatcher& dispatcher, DispatchedCommand order)
+        : dispatcher(dispatcher), order(std::move(order)) {
     }
-    Envoy& envoy;
-    EnvoyOrder order;
-    std::unique_ptr<WireLink> link;  // of a database
-    std::unique_ptr<Caller> caller;  // of the platform
+    CommandDispatcher& dispatcher;
+    DispatchedCommand order;
+    std::unique_ptr<DatabaseTransport> link;       // of a database
+    std::unique_ptr<HttpClientConnection> caller;  // of the platform
     bool is_greeted = false, is_over = false;
     std::string row;
-    void on_due(Moment now) override;
-    bool may_send(Caller&, Moment now) override {
-      return envoy.is_leased(order, now);
+    void on_due(TimePoint now) override;
+    bool may_send(HttpClientConnection&, TimePoint now) override {
+      return dispatcher.is_leased(order, now);
     }
-    void on_outcome(Caller& caller, Moment now) override;
-    void on_breakdown(Caller& caller, Kind kind, Moment now) override;
-    void on_idle_end(Caller&) override {
+    void on_response(HttpClientConnection& caller, TimePoint now) override;
+    void on_failure(HttpClientConnection& caller, ErrorCode kind, TimePoint now) override;
+    void on_idle_end(HttpClientConnection&) override {
     }
   };
   void run();
-  void begin(EnvoyOrder order, Moment now);
-  void begin_node(Errand& errand, Moment now);
-  void call(Errand& errand, const Address& address, const CallRow& row, const std::string& fields,
-            const std::string& body);
-  bool take(Errand& errand, WireMessage&& message);
-  void finish(Errand& errand, int status);
-  bool is_leased(const EnvoyOrder& order, Moment now) const;
+  void begin(DispatchedCommand order, TimePoint now);
+  void begin_node(PendingCommand& command, TimePoint now);
+  void call(PendingCommand& command, const Address& address, const CallRow& row,
+            const std::string& fields, const std::string& body);
+  bool take(PendingCommand& command, WireMessage&& message);
+  void finish(PendingCommand& command, int status);
+  bool is_leased(const DispatchedCommand& order, TimePoint now) const;
 
-  const Startup startup_;
-  Ring<CoreEvent>& events_;
+  const NodeSettings settings_;
+  BoundedQueue<ControlEvent>& events_;
   Poller poller_;
-  Schedule schedule_;
-  Ring<EnvoyOrder> orders_;
-  std::vector<std::unique_ptr<Errand>> errands_;
+  TimerQueue timers_;
+  BoundedQueue<DispatchedCommand> orders_;
+  std::vector<std::unique_ptr<PendingCommand>> commands_;
   // Read in the other order than written: an end of another term's lease is never taken for this
   // one's.
   std::atomic<std::uint64_t> lease_term_ = 0;
-  std::atomic<Moment::duration::rep> lease_until_ = 0;
+  std::atomic<TimePoint::duration::rep> lease_until_ = 0;
   std::atomic<bool> should_stop_ = false;
   std::thread thread_;
 };
--- a/src/programs/follower.h
+++ b/src/programs/follower.h
@@ -26,35 +26,35 @@
 // What the traffic thread serves by. Immutable, swapped whole.
 struct View {
   ConfigurationSnapshot configuration;
-  std::vector<RosterEntry> backends;  // those that are ready or emptying
-  bool is_ready = false;              // once true it stays so for this life
+  std::vector<Endpoint> backends;  // those that are ready or emptying
+  bool is_ready = false;           // once true it stays so for this life
   std::uint64_t brokers = 1;
-  std::vector<BrokerSeat> seats;  // ready brokers of other regions
-  Reserve reserve;
+  std::vector<BrokerEndpoint> seats;  // ready brokers of other regions
+  RetryQuota reserve;
 };
 using ViewSnapshot = std::shared_ptr<const View>;
 
 // The leads a pooler may act by, and until when.
-struct HoldNews {
-  std::shared_ptr<const LeadTable> leads;  // null: as before
-  Moment until{};
+struct LeadershipUpdate {
+  std::shared_ptr<const LeadershipTable> leaderships;  // null: as before
+  TimePoint until{};
 };
 // What a pooler saw of its leads, a bit for each lead of the table of this mark.
 struct Evidence {
-  std::uint64_t mark = 0;
+  std::uint64_t revision = 0;
   std::string failing, fine;
   std::string samples;  // with ages as of `built`
-  Moment built{};
+  TimePoint built{};
 };
 struct SampleNews {
   std::string samples;
-  Moment built{};  // not after the ages were counted
+  TimePoint built{};  // not after the ages were counted
 };
 
 // The ring a broker may act by, and until when.
 struct RingNews {
   RingSnapshot view;  // null: as before
-  Moment until{};
+  TimePoint until{};
 };
 // What a broker sent by the ring since it last told.
 struct RingCounts {
@@ -70,32 +70,33 @@
 };
 
 // Frames between brokers, handed over by the traffic thread.
-struct AidOut {
+struct DelegationMessage {
   std::string to;           // inner address for an aid, route for its outcome
   std::uint64_t token = 0;  // of an aid; 0 with an outcome
   std::string bytes;
 };
 // And handed to it.
-struct AidIn {
-  std::string route;  // whom to answer
-  Aid aid;
+struct DelegationRequested {
+  std::string routing_id;  // whom to answer
+  GatherRequest aid;
 };
-struct AidedIn {
-  Aided aided;
+struct DelegationResult {
+  GatherResult aided;
 };
-struct AidLost {  // it did not leave
+struct DelegationLost {  // it did not leave
   std::uint64_t token = 0;
 };
-using AidEvent = std::variant<AidIn, AidedIn, AidLost>;
+using DelegationEvent = std::variant<DelegationRequested, DelegationResult, DelegationLost>;
 
-class Follower {
+class ControlPlaneClient {
  public:
-  Follower(const Startup& startup, LifeId life, std::function<void(ViewSnapshot)> show,
-           std::function<void(AidEvent)> tell);
-  Fault open();
+  ControlPlaneClient(const NodeSettings& settings, IncarnationId incarnation,
+                     std::function<void(ViewSnapshot)> show,
+                     std::function<void(DelegationEvent)> tell);
+  Error open();
   void start();
   void stop();
-  bool send(AidOut out) {
+  bool send(DelegationMessage out) {
     return outs_.push(std::move(out));
   }
   void set_leaving() {
@@ -103,20 +104,22 @@
   }
   // Of a pooler: who is told of leads and samples; the follower tells the registries what was done
   // by then.
-  void set_pooler(std::function<void(HoldNews)> hold, std::function<void(SampleNews)> sample) {
-    hold_ = std::move(hold);
+  void set_pooler(std::function<void(LeadershipUpdate)> lease,
+                  std::function<void(SampleNews)> sample) {
+    lease_ = std::move(lease);
     sample_ = std::move(sample);
   }
-  void confirm_leads(std::uint64_t mark) {  // nothing is done by an earlier table any more
-    confirmed_mark_ = mark;
+  void confirm_leaderships(
+      std::uint64_t revision) {  // nothing is done by an earlier table any more
+    confirmed_revision_ = revision;
     waker_.wake();
   }
   // Of a broker: who is told of the ring.
   void set_ring(std::function<void(RingNews)> ring) {
     ring_ = std::move(ring);
   }
-  void confirm_ring(std::uint64_t mark) {
-    if (ring_confirmed_.exchange(mark) != mark)
+  void confirm_ring(std::uint64_t revision) {
+    if (ring_confirmed_.exchange(revision) != revision)
       waker_.wake();
   }
   void set_edges(std::function<void(EdgeNews)> edges) {
@@ -137,76 +140,81 @@
 
  private:
   struct Line {  // to one registry; what it told of itself is the feed's
-    std::unique_ptr<Spoke> spoke;
-    std::uint64_t life = 0, mark = 0;  // of its roster, as far as taken
-    LifeId beat_life;                  // of its last beat
+    std::unique_ptr<FrameClient> client;
+    std::uint64_t incarnation = 0, revision = 0;  // of its roster, as far as taken
+    IncarnationId heartbeat_incarnation;          // of its last beat
     std::uint64_t serial = 0;
-    Moment beaten{};  // when that came
+    TimePoint last_heartbeat{};  // when that came
   };
   void run();
   void reach_all();
   void follow_leader();
-  void take(const Parcel& parcel, Moment now);
-  void take_beat(const FrameHead& head, Line& line, Beat& beat, Moment now);
-  void take_body(Body body, Moment now);
-  void take_roster(Line& line, const FrameHead& head, const Roster& roster, Moment now);
-  void follow_all(Moment now);
+  void take(const ReceivedFrame& frame, TimePoint now);
+  void handle_heartbeat(const FrameHead& head, Line& line, ControlHeartbeat& heartbeat,
+                        TimePoint now);
+  void take_body(ConfigurationPayload body, TimePoint now);
+  void handle_endpoints(Line& line, const FrameHead& head, const EndpointList& endpoints,
+                        TimePoint now);
+  void follow_all(TimePoint now);
   void follow_one(const std::string& address, bool wants_body);
-  void choose_feed(Moment now);
-  void count_ring(Follow& follow);
-  void take_ring(const Beat& beat, Moment asked);
-  void take_hold(Beat& beat, Moment asked);
-  void take_samples(Line& line, LifeId life, Beat& beat, Moment asked, Moment now);
-  void fetch(Moment now);
-  void check_ready(Moment now);
-  void turn(Moment now);
+  void choose_feed(TimePoint now);
+  void count_ring(SubscribeRequest& follow);
+  void take_ring(const ControlHeartbeat& heartbeat, TimePoint asked);
+  void handle_leadership_lease(ControlHeartbeat& heartbeat, TimePoint asked);
+  void take_samples(Line& line, IncarnationId incarnation, ControlHeartbeat& heartbeat,
+                    TimePoint asked, TimePoint now);
+  void fetch(TimePoint now);
+  void check_ready(TimePoint now);
+  void turn(TimePoint now);
   void publish();
-  void take_hub(Moment now);
-  void send_aids();
+  void take_hub(TimePoint now);
+  void send_delegations();
 
-  const Startup startup_;
-  const LifeId life_;
+  const NodeSettings settings_;
+  const IncarnationId incarnation_;
   const std::string address_;
   std::function<void(ViewSnapshot)> show_;
-  std::function<void(AidEvent)> tell_;
+  std::function<void(DelegationEvent)> tell_;
   LinkContext context_;
-  Hub hub_;
+  FrameServer frame_server_;
   Waker waker_;
-  Ring<std::vector<Address>> contacts_;
-  Ring<AidOut> outs_;
-  std::map<std::string, std::unique_ptr<Spoke>> aides_;  // brokers asked for aid, by inner address
-  std::vector<BrokerSeat> seats_;  // ready brokers of other regions, a few of each
-  std::uint64_t seats_mark_ = 0;   // of the list they were taken from
-  void take_seats(const Beat& beat);
-  Feed feed_;
+  BoundedQueue<std::vector<Address>> contacts_;
+  BoundedQueue<DelegationMessage> outs_;
+  std::map<std::string, std::unique_ptr<FrameClient>>
+      delegates_;                       // brokers asked for aid, by inner address
+  std::vector<BrokerEndpoint> seats_;   // ready brokers of other regions, a few of each
+  std::uint64_t brokers_revision_ = 0;  // of the list they were taken from
+  void handle_broker_endpoints(const ControlHeartbeat& heartbeat);
+  ControlSourceSelector control_source_;
   std::map<std::string, Line> lines_;  // by inner address
-  RosterBook book_;
-  Turnover turnover_;
-  Moment born_, follow_due_{}, fetch_due_{};
+  EndpointTable endpoint_table_;
+  VersionSwitch version_switch_;
+  TimePoint born_, follow_due_{}, fetch_due_{};
   Version fetched_;  // last asked for, or waited for at the feed
-  Span fetch_pause_{0};
+  Duration fetch_pause_{0};
   bool is_ready_ = false, has_news_ = false;
   std::uint64_t brokers_ = 1;
-  Reserve reserve_;
-  Moment reserve_shown_{};
+  RetryQuota reserve_;
+  TimePoint reserve_shown_{};
 
-  std::function<void(HoldNews)> hold_;
+  std::function<void(LeadershipUpdate)> lease_;
   std::function<void(SampleNews)> sample_;
   std::function<void(RingNews)> ring_;
-  void take_edges(const Beat& beat);
+  void take_edges(const ControlHeartbeat& heartbeat);
   std::function<void(EdgeNews)> edges_;
-  Ring<std::string> edge_counts_{8, {}};
+  BoundedQueue<std::string> edge_counts_{8, {}};
   EdgeCounts edge_sums_{4096};  // until the feed has them
   std::uint64_t edges_held_ = 0;
-  Ring<RingCounts> ring_counts_{64, {}};
+  BoundedQueue<RingCounts> ring_counts_{64, {}};
   std::atomic<std::uint64_t> ring_confirmed_ = 0;
-  std::uint64_t ring_told_ = 0, ring_mark_ = 0;
-  Ring<Evidence> evidence_{16, {}};
+  std::uint64_t ring_told_ = 0, ring_revision_ = 0;
+  BoundedQueue<Evidence> evidence_{16, {}};
   Evidence seen_;
-  std::atomic<std::uint64_t> confirmed_mark_ = 0;
-  std::uint64_t told_mark_ = 0, leads_mark_ = 0;  // leads_mark_: of the table handed on
-  Moment hold_until_{};
-  StepLog steps_;
+  std::atomic<std::uint64_t> confirmed_revision_ = 0;
+  std::uint64_t notified_revision_ = 0,
+                leadership_revision_ = 0;  // leadership_revision_: of the table handed on
+  TimePoint lease_until_{};
+  VersionTrace steps_;
   std::atomic<bool> should_stop_ = false, is_leaving_ = false;
   std::thread thread_;
 };
--- a/src/programs/following.cpp
+++ b/src/programs/following.cpp
@@ -10,33 +10,34 @@
 namespace saddlewing {
 namespace {
 
-constexpr Span oldest_sample{1500};
+constexpr Duration oldest_sample{1500};
 
 }  // namespace
 
-void Follower::follow_one(const std::string& address, bool wants_body) {
+void ControlPlaneClient::follow_one(const std::string& address, bool wants_body) {
   const auto found = lines_.find(address);
-  const auto known = feed_.sources().find(address);
-  if (found == lines_.end() || known == feed_.sources().end())
+  const auto known = control_source_.sources().find(address);
+  if (found == lines_.end() || known == control_source_.sources().end())
     return;
   const Line& line = found->second;
-  const bool is_feed = address == feed_.chosen(), is_leader = feed_.is_leader(known->second);
-  Follow follow;
-  follow.version = turnover_.held();
-  follow.roster_life = line.life;
-  follow.roster_mark = line.mark;
+  const bool is_feed = address == control_source_.chosen(),
+             is_leader = control_source_.is_leader(known->second);
+  SubscribeRequest follow;
+  follow.version = version_switch_.held();
+  follow.endpoints_incarnation = line.incarnation;
+  follow.endpoints_revision = line.revision;
   follow.wants_body = wants_body;
-  follow.wants_roster = is_feed;
-  follow.region = startup_.region;
+  follow.wants_endpoints = is_feed;
+  follow.region = settings_.region;
   follow.is_ready = is_ready_ && !is_leaving_;
-  follow.seats_mark = seats_mark_;
-  follow.token = feed_.token();
-  follow.leads_mark = confirmed_mark_;
-  if (hold_)
-    follow.locality = startup_.locality;
-  follow.ring_mark = ring_confirmed_;
-  follow.ring_held = ring_mark_;
-  if (ring_mark_ && is_leader)
+  follow.brokers_revision = brokers_revision_;
+  follow.token = control_source_.token();
+  follow.leadership_revision = confirmed_revision_;
+  if (lease_)
+    follow.zone = settings_.zone;
+  follow.ring_revision = ring_confirmed_;
+  follow.ring_held = ring_revision_;
+  if (ring_revision_ && is_leader)
     count_ring(follow);
   if (edges_) {
     follow.edges_held = edges_held_;
@@ -45,25 +46,25 @@
     if (is_feed)
       follow.edge_counts = edge_sums_.take();
   }
-  if (hold_ && (is_leader || is_feed)) {
+  if (lease_ && (is_leader || is_feed)) {
     follow.failing = seen_.failing;
     follow.fine = seen_.fine;
     if (is_feed && line.serial && Clock::now() - seen_.built < oldest_sample) {
-      const Moment now = Clock::now();
+      const TimePoint now = Clock::now();
       follow.samples = seen_.samples;
       follow.samples_age =
-          static_cast<std::uint64_t>(std::chrono::ceil<Span>(now - seen_.built).count());
-      follow.echo_life = line.beat_life;
+          static_cast<std::uint64_t>(std::chrono::ceil<Duration>(now - seen_.built).count());
+      follow.echo_incarnation = line.heartbeat_incarnation;
       follow.echo = line.serial;
-      follow.gap = static_cast<std::uint64_t>(span_between(line.beaten, now).count());
+      follow.gap = static_cast<std::uint64_t>(elapsed(line.last_heartbeat, now).count());
     }
-    if (seen_.mark != follow.leads_mark)
+    if (seen_.revision != follow.leadership_revision)
       follow.failing.clear(), follow.fine.clear();
   }
-  line.spoke->send(encode({FrameKind::follow, life_, address_}, follow));
+  line.client->send(encode({FrameKind::follow, incarnation_, address_}, follow));
 }
 
-void Follower::count_ring(Follow& follow) {
+void ControlPlaneClient::count_ring(SubscribeRequest& follow) {
   std::map<VirtualNode, RingLoad> sums;
   std::map<std::string, RingLoad> account_sums;
   for (const RingCounts& counts : ring_counts_.take()) {
@@ -86,16 +87,16 @@
 }
 
 // A view that does not read, or that is older than the one held, changes nothing.
-void Follower::take_edges(const Beat& beat) {
-  if (!beat.edges_in_force && beat.edges.empty())
+void ControlPlaneClient::take_edges(const ControlHeartbeat& heartbeat) {
+  if (!heartbeat.edges_in_force && heartbeat.edges.empty())
     return;
-  EdgeNews news{nullptr, beat.edges_in_force};
+  EdgeNews news{nullptr, heartbeat.edges_in_force};
   auto view = std::make_shared<EdgeView>();
-  if (!beat.edges.empty()) {
-    if (decode_view(beat.edges, *view) && view->mark >= edges_held_) {
-      if (view->mark > edges_held_)
+  if (!heartbeat.edges.empty()) {
+    if (decode_view(heartbeat.edges, *view) && view->revision >= edges_held_) {
+      if (view->revision > edges_held_)
         news.view = view;
-      edges_held_ = view->mark;
+      edges_held_ = view->revision;
     } else {
       metrics().add(Metric::edge_frames_dropped);
     }
@@ -103,49 +104,53 @@
   edges_(std::move(news));
 }
 
-void Follower::take_ring(const Beat& beat, Moment asked) {
+void ControlPlaneClient::take_ring(const ControlHeartbeat& heartbeat, TimePoint asked) {
   RingNews news;
-  if (!beat.ring.empty() && beat.ring_mark > ring_mark_) {
-    RingSheet sheet;
-    if (decode_ring(beat.ring, sheet) && sheet.mark == beat.ring_mark &&
-        (news.view = view_ring(sheet))) {
-      ring_mark_ = sheet.mark;
-      LOG(INFO) << "follow: ring " << ring_mark_ << " held";
+  if (!heartbeat.ring.empty() && heartbeat.ring_revision > ring_revision_) {
+    RingDocument document;
+    if (decode_ring(heartbeat.ring, document) && document.revision == heartbeat.ring_revision &&
+        (news.view = view_ring(document))) {
+      ring_revision_ = document.revision;
+      LOG(INFO) << "follow: ring " << ring_revision_ << " held";
     }
   }
-  if (beat.hold)
-    news.until = asked + Span(static_cast<std::int64_t>(std::min<std::uint64_t>(beat.hold, 60000)));
-  if (news.view || (ring_mark_ && beat.hold))
+  if (heartbeat.lease)
+    news.until =
+        asked +
+        Duration(static_cast<std::int64_t>(std::min<std::uint64_t>(heartbeat.lease, 60000)));
+  if (news.view || (ring_revision_ && heartbeat.lease))
     ring_(std::move(news));
 }
 
 // Invariant: a hold counts from the moment of asking, and a table is handed on before a hold that
 // covers it.
-void Follower::take_hold(Beat& beat, Moment asked) {
-  HoldNews news;
-  if (!beat.leads.empty() && beat.leads_mark > leads_mark_) {
-    auto table = std::make_shared<LeadTable>();
-    if (decode_leads(beat.leads, *table) && table->mark == beat.leads_mark) {
-      leads_mark_ = table->mark;
-      news.leads = std::move(table);
+void ControlPlaneClient::handle_leadership_lease(ControlHeartbeat& heartbeat, TimePoint asked) {
+  LeadershipUpdate news;
+  if (!heartbeat.leaderships.empty() && heartbeat.leadership_revision > leadership_revision_) {
+    auto table = std::make_shared<LeadershipTable>();
+    if (decode_leaderships(heartbeat.leaderships, *table) &&
+        table->revision == heartbeat.leadership_revision) {
+      leadership_revision_ = table->revision;
+      news.leaderships = std::move(table);
     }
   }
-  if (beat.hold)
-    hold_until_ = std::max(
-        hold_until_,
-        asked + Span(static_cast<std::int64_t>(std::min<std::uint64_t>(beat.hold, 60000))));
-  news.until = hold_until_;
-  if (news.leads || beat.hold)
-    hold_(std::move(news));
+  if (heartbeat.lease)
+    lease_until_ =
+        std::max(lease_until_, asked + Duration(static_cast<std::int64_t>(
+                                           std::min<std::uint64_t>(heartbeat.lease, 60000))));
+  news.until = lease_until_;
+  if (news.leaderships || heartbeat.lease)
+    lease_(std::move(news));
 }
 
 // The beat answers that follow, so its ages were counted after it left.
-void Follower::take_samples(Line& line, LifeId life, Beat& beat, Moment asked, Moment now) {
-  line.beat_life = life;
-  line.serial = beat.serial;
-  line.beaten = now;
-  if (!beat.samples.empty())
-    sample_({std::move(beat.samples), asked});
+void ControlPlaneClient::take_samples(Line& line, IncarnationId incarnation,
+                                      ControlHeartbeat& heartbeat, TimePoint asked, TimePoint now) {
+  line.heartbeat_incarnation = incarnation;
+  line.serial = heartbeat.serial;
+  line.last_heartbeat = now;
+  if (!heartbeat.samples.empty())
+    sample_({std::move(heartbeat.samples), asked});
 }
 
 }  // namespace saddlewing
--- a/src/programs/founding.cpp
+++ b/src/programs/founding.cpp
@@ -15,51 +15,53 @@
   return {hash | 1};
 }
 
-bool is_refused(Store::Found found) {
-  return found == Store::Found::unknown_format || found == Store::Found::unreadable;
+bool is_refused(DurableStore::Found found) {
+  return found == DurableStore::Found::unknown_format || found == DurableStore::Found::unreadable;
 }
 
 }  // namespace
 
-std::optional<Durable> load_or_found(const Startup& startup, const Store& store, MemberId fresh,
-                                     const std::function<bool()>& wait) {
-  Durable durable;
-  Fault why;
-  Store::Found found = store.load(durable, why);
-  if (found == Store::Found::unknown_format)
+std::optional<PersistentState> load_or_found(const NodeSettings& settings,
+                                             const DurableStore& store, MemberId fresh,
+                                             const std::function<bool()>& wait) {
+  PersistentState persistent;
+  Error why;
+  DurableStore::Found found = store.load(persistent, why);
+  if (found == DurableStore::Found::unknown_format)
     LOG(ERROR) << "disk: store of a later format, left as it is: " << why.text();
-  if (found == Store::Found::unreadable)
+  if (found == DurableStore::Found::unreadable)
     LOG(ERROR) << "disk: store cannot be read, left as it is: " << why.text();
   const bool was_refused =
       is_refused(found);  // then there was a store: whatever becomes of it, no core is founded
   while (is_refused(found)) {
     if (!wait())
       return std::nullopt;
-    found = store.load(durable, why);
+    found = store.load(persistent, why);
   }
-  if (found == Store::Found::record)
-    return durable;
-  if (found == Store::Found::damaged)
+  if (found == DurableStore::Found::record)
+    return persistent;
+  if (found == DurableStore::Found::damaged)
     LOG(ERROR) << "disk: store damaged, treated as lost: " << why.text();
   auto entry = std::make_shared<Entry>();
-  const std::string self = Address{startup.ip_address, startup.inner_port}.text();
-  for (const Address& contact : startup.contacts) {
-    const std::string address = Address{contact.host, startup.inner_port}.text();
+  const std::string self = Address{settings.ip_address, settings.inner_port}.text();
+  for (const Address& contact : settings.contacts) {
+    const std::string address = Address{contact.host, settings.inner_port}.text();
     entry->members.push_back({founder_id(address), address});
   }
   const bool is_founder = std::any_of(entry->members.begin(), entry->members.end(),
                                       [&](const Member& m) { return m.address == self; });
-  durable = {};
-  if (startup.is_first_run && is_founder && found == Store::Found::nothing && !was_refused) {
-    durable.self = founder_id(self);
+  persistent = {};
+  if (settings.is_first_run && is_founder && found == DurableStore::Found::nothing &&
+      !was_refused) {
+    persistent.self = founder_id(self);
     LOG(INFO) << "agree: founds a core of " << entry->members.size();
   } else {
     entry->members.clear();
-    durable.self = fresh;
+    persistent.self = fresh;
     LOG(INFO) << "agree: asks to join";
   }
-  durable.entry = std::move(entry);
-  return durable;
+  persistent.entry = std::move(entry);
+  return persistent;
 }
 
 }  // namespace saddlewing
--- a/src/programs/founding.h
+++ b/src/programs/founding.h
@@ -11,7 +11,8 @@
 // A store of an unknown format, or one that cannot be read, is logged once and left alone: `wait`
 // is called until the store can be served, or until it says false. Then there is nothing to begin
 // with. `fresh` is taken by whoever neither has a record nor founds.
-std::optional<Durable> load_or_found(const Startup& startup, const Store& store, MemberId fresh,
-                                     const std::function<bool()>& wait);
+std::optional<PersistentState> load_or_found(const NodeSettings& settings,
+                                             const DurableStore& store, MemberId fresh,
+                                             const std::function<bool()>& wait);
 
 }  // namespace saddlewing
--- a/src/programs/lookout.cpp
+++ b/src/programs/lookout.cpp
@@ -10,9 +10,9 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::size_t most_head = 16384, most_page = 4 << 20, most_entries = 100000;
-constexpr int most_pages = 2000;
-constexpr Span page_wait{1500}, probe_wait{1000};
+constexpr std::size_t max_head = 16384, max_page = 4 << 20, max_entries = 100000;
+constexpr int max_pages = 2000;
+constexpr Duration page_wait{1500}, probe_wait{1000};
 
 std::string encode_query(const std::string& text) {
   static const char digits[] = "0123456789ABCDEF";
@@ -33,83 +33,83 @@
 
 }  // namespace
 
-Lookout::Lookout(const Startup& startup, Ring<CoreEvent>& events)
-    : startup_(startup),
+BackendMonitor::BackendMonitor(const NodeSettings& settings, BoundedQueue<ControlEvent>& events)
+    : settings_(settings),
       events_(events),
       orders_(64, [this] { poller_.wake(); }),
       order_(std::make_shared<WatchOrder>()) {
-  listing_.lookout = this;
+  listing_.monitor = this;
 }
 
-void Lookout::start() {
+void BackendMonitor::start() {
   thread_ = std::thread([this] { run(); });
 }
 
-void Lookout::stop() {
+void BackendMonitor::stop() {
   should_stop_ = true;
   poller_.wake();
   if (thread_.joinable())
     thread_.join();
 }
 
-void Lookout::run() {
+void BackendMonitor::run() {
   while (!should_stop_) {
-    poller_.poll(schedule_.until_next(Clock::now(), Span(1000)));
-    const Moment now = Clock::now();
+    poller_.poll(timers_.until_next(Clock::now(), Duration(1000)));
+    const TimePoint now = Clock::now();
     auto orders = orders_.take();
     if (!orders.empty())
       take_order(std::move(orders.back()), now);
-    schedule_.run(now);
-    graves_.clear();
+    timers_.run(now);
+    closed_connections_.clear();
   }
 }
 
-void Lookout::take_order(WatchOrderSnapshot order, Moment now) {
+void BackendMonitor::take_order(WatchOrderSnapshot order, TimePoint now) {
   const bool was_observing = order_->is_observing;
   order_ = std::move(order);
   std::map<std::string, const WatchTarget*> wanted;
   if (order_->is_observing)
     for (const WatchTarget& target : order_->targets)
       wanted[target.id] = &target;
-  for (auto place = probes_.begin(); place != probes_.end();) {
-    if (wanted.contains(place->first)) {
-      ++place;
+  for (auto position = probes_.begin(); position != probes_.end();) {
+    if (wanted.contains(position->first)) {
+      ++position;
     } else {
-      bury(place->second.caller);
-      place = probes_.erase(place);
+      defer_delete(position->second.caller);
+      position = probes_.erase(position);
     }
   }
   for (const auto& [id, target] : wanted) {
-    const auto [place, is_new] = probes_.try_emplace(id);
-    place->second.lookout = this;
-    place->second.target = *target;
+    const auto [position, is_new] = probes_.try_emplace(id);
+    position->second.monitor = this;
+    position->second.target = *target;
     if (is_new)
-      start_probe(place->second, now);  // a newcomer is probed at once
+      start_probe(position->second, now);  // a newcomer is probed at once
   }
   if (order_->is_observing) {
     if (!was_observing && !listing_.is_waiting)
-      schedule_.set(listing_, now);
+      timers_.set(listing_, now);
   } else if (!listing_.is_waiting) {
-    schedule_.drop(listing_);
+    timers_.drop(listing_);
   }
 }
 
-void Lookout::bury(std::unique_ptr<Caller>& caller) {
+void BackendMonitor::defer_delete(std::unique_ptr<HttpClientConnection>& caller) {
   if (!caller)
     return;
   by_caller_.erase(caller.get());
   caller->end();
-  graves_.push_back(std::move(caller));
+  closed_connections_.push_back(std::move(caller));
 }
 
-void Lookout::start_probe(Probe& probe, Moment now) {
+void BackendMonitor::start_probe(Probe& probe, TimePoint now) {
   Address address;
-  probe.next = now + (probe.target.is_awaited ? startup_.renewal / 4 : startup_.renewal);
+  probe.next = now + (probe.target.is_awaited ? settings_.renewal / 4 : settings_.renewal);
   if (!parse_address(probe.target.address, address))
-    return schedule_.set(probe, probe.next);
-  if (!probe.caller || probe.caller->state() == Caller::State::ended) {
-    bury(probe.caller);
-    probe.caller = std::make_unique<Caller>(poller_, *this, address, most_head, 65536);
+    return timers_.set(probe, probe.next);
+  if (!probe.caller || probe.caller->state() == HttpClientConnection::State::ended) {
+    defer_delete(probe.caller);
+    probe.caller = std::make_unique<HttpClientConnection>(poller_, *this, address, max_head, 65536);
     by_caller_[probe.caller.get()] = &probe;
   }
   const std::string bytes = std::string(row_of(Call::probe_backend).method) + " " +
@@ -117,63 +117,63 @@
                             " HTTP/1.1\r\nHost: " + probe.target.address + "\r\n" +
                             field::meant_server + ": " + probe.target.id + "\r\n\r\n";
   probe.is_waiting = probe.caller->ask(bytes, false);
-  schedule_.set(probe,
-                probe.is_waiting ? now + std::min(probe_wait, startup_.renewal / 2) : probe.next);
+  timers_.set(probe,
+              probe.is_waiting ? now + std::min(probe_wait, settings_.renewal / 2) : probe.next);
 }
 
-void Lookout::Probe::on_due(Moment now) {
+void BackendMonitor::Probe::on_due(TimePoint now) {
   if (is_waiting) {  // silent: the connection is not trusted any more
     is_waiting = false;
-    lookout->bury(caller);
-    lookout->schedule_.set(*this, std::max(now, next));
+    monitor->defer_delete(caller);
+    monitor->timers_.set(*this, std::max(now, next));
     return;
   }
-  lookout->start_probe(*this, now);
+  monitor->start_probe(*this, now);
 }
 
-Lookout::Probe* Lookout::probe_of(Caller& caller) {
+BackendMonitor::Probe* BackendMonitor::probe_of(HttpClientConnection& caller) {
   const auto found = by_caller_.find(&caller);
   return found == by_caller_.end() ? nullptr : found->second;
 }
 
-void Lookout::start_page(Moment now) {
-  if (!listing_.caller || listing_.caller->state() == Caller::State::ended) {
-    bury(listing_.caller);
-    listing_.caller =
-        std::make_unique<Caller>(poller_, *this, startup_.platform, most_head, most_page);
+void BackendMonitor::start_page(TimePoint now) {
+  if (!listing_.caller || listing_.caller->state() == HttpClientConnection::State::ended) {
+    defer_delete(listing_.caller);
+    listing_.caller = std::make_unique<HttpClientConnection>(poller_, *this, settings_.platform,
+                                                             max_head, max_page);
   }
   std::string bytes = std::string(row_of(Call::list_backends).method) + " " +
                       std::string(row_of(Call::list_backends).path);
   if (!listing_.token.empty())
     bytes += "?page_token=" + encode_query(listing_.token);
-  bytes += " HTTP/1.1\r\nHost: " + startup_.platform.text() + "\r\n\r\n";
+  bytes += " HTTP/1.1\r\nHost: " + settings_.platform.text() + "\r\n\r\n";
   listing_.is_waiting = listing_.caller->ask(bytes, false);
   if (!listing_.is_waiting)
-    return end_listing(startup_.listing, now);
-  schedule_.set(listing_, now + page_wait);
+    return end_listing(settings_.listing, now);
+  timers_.set(listing_, now + page_wait);
 }
 
-void Lookout::Listing::on_due(Moment now) {
+void BackendMonitor::Listing::on_due(TimePoint now) {
   if (is_waiting) {
-    lookout->bury(caller);
-    return lookout->end_listing(lookout->startup_.listing, now);
+    monitor->defer_delete(caller);
+    return monitor->end_listing(monitor->settings_.listing, now);
   }
-  if (!lookout->order_->is_observing)
+  if (!monitor->order_->is_observing)
     return;
   entries.clear();
   token.clear();
   pages = 0;
-  lookout->start_page(now);
+  monitor->start_page(now);
 }
 
-void Lookout::end_listing(Span pause, Moment now) {
+void BackendMonitor::end_listing(Duration pause, TimePoint now) {
   listing_.is_waiting = false;
   listing_.pause = pause;
   if (order_->is_observing)
-    schedule_.set(listing_, now + pause);
+    timers_.set(listing_, now + pause);
 }
 
-bool Lookout::take_page(const std::string& body) {
+bool BackendMonitor::take_page(const std::string& body) {
   Json::Value root;
   std::string reason;
   if (!read_json(body, root, reason) || !root.isObject() || !root["backends"].isArray())
@@ -181,11 +181,11 @@
   for (const Json::Value& value : root["backends"]) {
     if (!value.isObject())
       return false;
-    RosterEntry entry;
+    Endpoint entry;
     entry.id = text_of(value, "id");
     entry.service = text_of(value, "service");
     entry.address = text_of(value, "address");
-    entry.locality = text_of(value, "zone");
+    entry.zone = text_of(value, "zone");
     entry.software = text_of(value, "version");
     const std::string state = text_of(value, "state");
     if (entry.id.empty() || entry.service.empty() || entry.address.empty())
@@ -198,60 +198,60 @@
       entry.warm_left =
           static_cast<std::uint64_t>(std::clamp(value["warm_left_ms"].asDouble(), 0.0, 1e9));
     listing_.entries.push_back(std::move(entry));
-    if (listing_.entries.size() > most_entries)
+    if (listing_.entries.size() > max_entries)
       return false;
   }
   const Json::Value& next = root["next_token"];
   const std::string token = next.isString() ? next.asString() : "";
   if (!next.isNull() && !next.isString())
     return false;
-  if (!token.empty() && (token == listing_.token || ++listing_.pages > most_pages))
+  if (!token.empty() && (token == listing_.token || ++listing_.pages > max_pages))
     return false;  // a token without end
   listing_.token = token;
   return true;
 }
 
-void Lookout::on_outcome(Caller& caller, Moment now) {
+void BackendMonitor::on_response(HttpClientConnection& caller, TimePoint now) {
   if (&caller == listing_.caller.get()) {
     const int status = caller.reader().response().getStatus();
     if (status != 200) {
       // Over its rate the platform asks for room.
-      return end_listing(status == 429
-                             ? std::min(std::max(listing_.pause * 2, startup_.listing), Span(4000))
-                             : startup_.listing,
-                         now);
+      return end_listing(
+          status == 429 ? std::min(std::max(listing_.pause * 2, settings_.listing), Duration(4000))
+                        : settings_.listing,
+          now);
     }
     if (!take_page(caller.reader().body())) {
       LOG_EVERY_N(WARNING, 20) << "watch: page of the platform not understood";
-      return end_listing(startup_.listing, now);
+      return end_listing(settings_.listing, now);
     }
     if (!listing_.token.empty())
       return start_page(now);
     events_.push(Listed{std::move(listing_.entries)});
     listing_.entries.clear();
-    return end_listing(startup_.listing, now);
+    return end_listing(settings_.listing, now);
   }
   Probe* probe = probe_of(caller);
   if (!probe)
     return;
   probe->is_waiting = false;
-  schedule_.set(*probe, std::max(now, probe->next));
+  timers_.set(*probe, std::max(now, probe->next));
   const auto& response = caller.reader().response();
   if (response.getStatus() == 200 && response.get(field::server_id, "") == probe->target.id)
     events_.push(Renewed{probe->target.id});
 }
 
-void Lookout::on_breakdown(Caller& caller, Kind, Moment now) {
+void BackendMonitor::on_failure(HttpClientConnection& caller, ErrorCode, TimePoint now) {
   if (&caller == listing_.caller.get())
-    return end_listing(startup_.listing, now);
+    return end_listing(settings_.listing, now);
   Probe* probe = probe_of(caller);
   if (!probe)
     return;
   probe->is_waiting = false;
-  schedule_.set(*probe, std::max(now, probe->next));
+  timers_.set(*probe, std::max(now, probe->next));
 }
 
-void Lookout::on_idle_end(Caller&) {
+void BackendMonitor::on_idle_end(HttpClientConnection&) {
 }  // the next call opens anew
 
 }  // namespace saddlewing
--- a/src/programs/lookout.h
+++ b/src/programs/lookout.h
@@ -12,61 +12,61 @@
 
 namespace saddlewing {
 
-class Lookout final : public CallOwner {
+class BackendMonitor final : public HttpCallObserver {
  public:
-  Lookout(const Startup& startup, Ring<CoreEvent>& events);
+  BackendMonitor(const NodeSettings& settings, BoundedQueue<ControlEvent>& events);
   void start();
   void stop();
   void order(WatchOrderSnapshot order) {
     orders_.replace(std::move(order));
   }
 
-  void on_outcome(Caller& caller, Moment now) override;
-  void on_breakdown(Caller& caller, Kind kind, Moment now) override;
-  void on_idle_end(Caller& caller) override;
+  void on_response(HttpClientConnection& caller, TimePoint now) override;
+  void on_failure(HttpClientConnection& caller, ErrorCode kind, TimePoint now) override;
+  void on_idle_end(HttpClientConnection& caller) override;
 
  private:
   // One backend under probe. Invariant: `caller` is null while no connection is kept.
   struct Probe final : Scheduled {
-    Lookout* lookout = nullptr;
+    BackendMonitor* monitor = nullptr;
     WatchTarget target;
-    std::unique_ptr<Caller> caller;
+    std::unique_ptr<HttpClientConnection> caller;
     bool is_waiting = false;
-    Moment next{};
-    void on_due(Moment now) override;
+    TimePoint next{};
+    void on_due(TimePoint now) override;
   };
   // The listing, page by page, over one kept connection.
   struct Listing final : Scheduled {
-    Lookout* lookout = nullptr;
-    std::unique_ptr<Caller> caller;
+    BackendMonitor* monitor = nullptr;
+    std::unique_ptr<HttpClientConnection> caller;
     bool is_waiting = false;
-    std::vector<RosterEntry> entries;
+    std::vector<Endpoint> entries;
     std::string token;
     int pages = 0;
-    Span pause{0};  // grows while the platform refuses
-    void on_due(Moment now) override;
+    Duration pause{0};  // grows while the platform refuses
+    void on_due(TimePoint now) override;
   };
   void run();
-  void take_order(WatchOrderSnapshot order, Moment now);
-  void start_probe(Probe& probe, Moment now);
-  void start_page(Moment now);
-  void end_listing(Span pause, Moment now);
+  void take_order(WatchOrderSnapshot order, TimePoint now);
+  void start_probe(Probe& probe, TimePoint now);
+  void start_page(TimePoint now);
+  void end_listing(Duration pause, TimePoint now);
   bool take_page(const std::string& body);
-  void bury(std::unique_ptr<Caller>& caller);
-  Probe* probe_of(Caller& caller);
+  void defer_delete(std::unique_ptr<HttpClientConnection>& caller);
+  Probe* probe_of(HttpClientConnection& caller);
 
-  const Startup startup_;
-  Ring<CoreEvent>& events_;
+  const NodeSettings settings_;
+  BoundedQueue<ControlEvent>& events_;
   Poller poller_;
-  Schedule schedule_;
-  Ring<WatchOrderSnapshot> orders_;
+  TimerQueue timers_;
+  BoundedQueue<WatchOrderSnapshot> orders_;
   WatchOrderSnapshot order_;
   std::map<std::string, Probe> probes_;
-  std::unordered_map<const Caller*, Probe*>
+  std::unordered_map<const HttpClientConnection*, Probe*>
       by_caller_;  // invariant: every caller of a probe, until it is buried
   Listing listing_;
-  std::vector<std::unique_ptr<Caller>>
-      graves_;  // freed between rounds, never inside their own calls
+  std::vector<std::unique_ptr<HttpClientConnection>>
+      closed_connections_;  // freed between rounds, never inside their own calls
   std::atomic<bool> should_stop_ = false;
   std::thread thread_;
 };
--- a/src/programs/operator_call.h
+++ b/src/programs/operator_call.h
@@ -9,7 +9,7 @@
 
 // Asks one contact after the other, and whoever is said to lead, until one has answered or the time
 // is over.
-bool ask_leader(const std::vector<std::string>& contacts, const RingCall& call, Span most,
+bool ask_leader(const std::vector<std::string>& contacts, const RingCall& call, Duration limit,
                 RingAnswer& answer);
 
 }  // namespace saddlewing
--- a/src/programs/pooler_program.cpp
+++ b/src/programs/pooler_program.cpp
@@ -11,30 +11,30 @@
 
 int run_pooler(const std::string& startup_path) {
   Signals signals(startup_path);
-  Startup startup;
-  if (Fault found = read_startup(startup_path, false, startup)) {
+  NodeSettings settings;
+  if (Error found = read_node_settings(startup_path, false, settings)) {
     LOG(ERROR) << "startup: " << found.text();
     return 1;
   }
   std::random_device device;
-  const LifeId life{(static_cast<std::uint64_t>(device()) << 32) | device() | 1u};
-  Pooling pooling(startup);
-  Follower follower(
-      startup, life, [&pooling](ViewSnapshot view) { pooling.show(std::move(view)); },
-      [](AidEvent) {});
-  follower.set_pooler([&pooling](HoldNews news) { pooling.hold(std::move(news)); },
+  const IncarnationId incarnation{(static_cast<std::uint64_t>(device()) << 32) | device() | 1u};
+  PoolerLoop pooling(settings);
+  ControlPlaneClient follower(
+      settings, incarnation, [&pooling](ViewSnapshot view) { pooling.show(std::move(view)); },
+      [](DelegationEvent) {});
+  follower.set_pooler([&pooling](LeadershipUpdate news) { pooling.lease(std::move(news)); },
                       [&pooling](SampleNews news) { pooling.sample(std::move(news)); });
   pooling.set_follower(follower);
-  for (const Fault& found : {follower.open(), pooling.open()})
+  for (const Error& found : {follower.open(), pooling.open()})
     if (found) {
       LOG(ERROR) << "startup: " << found.text();
       return 1;
     }
   follower.start();
   pooling.start();
-  LOG(INFO) << "pooler: started as " << startup.node_name;
+  LOG(INFO) << "pooler: started as " << settings.node_name;
   signals.serve(startup_path, false,
-                [&](const Startup& changed) { follower.set_contacts(changed.contacts); });
+                [&](const NodeSettings& changed) { follower.set_contacts(changed.contacts); });
   follower.set_leaving();
   pooling.leave();
   pooling.join();
--- a/src/programs/pooling.cpp
+++ b/src/programs/pooling.cpp
@@ -10,28 +10,28 @@
 namespace saddlewing {
 namespace {
 
-constexpr Span busy_tick{100}, calm_tick{250};
-constexpr Span still_chosen{
+constexpr Duration busy_tick{100}, calm_tick{250};
+constexpr Duration still_chosen{
     2500};  // after SIGTERM the platform may go on sending for two missed checks
-constexpr Span before_end{700};  // of the grace, kept for the end itself
-constexpr Span most_greeting{700}, most_preparing{900};
-constexpr Span most_draining{400};     // of a lead given up in good order
-constexpr Span emptying_margin{1500};  // before an emptying backend must get nothing more
-constexpr Span first_lag_pause{50}, longest_lag_pause{800};
-constexpr Span heard_of_late{1500}, oldest_told{900};
-constexpr Span least_report{200};
-constexpr std::size_t most_waiting = 2048;
-
-void set_bit(std::string& bits, std::size_t place) {
-  if (bits.size() <= place / 8)
-    bits.resize(place / 8 + 1);
-  bits[place / 8] =
-      static_cast<char>(static_cast<unsigned char>(bits[place / 8]) | 1u << (place % 8));
+constexpr Duration before_end{700};  // of the grace, kept for the end itself
+constexpr Duration max_greeting{700}, max_preparing{900};
+constexpr Duration max_draining{400};      // of a lead given up in good order
+constexpr Duration emptying_margin{1500};  // before an emptying backend must get nothing more
+constexpr Duration first_lag_pause{50}, max_lag_pause{800};
+constexpr Duration heard_of_late{1500}, oldest_told{900};
+constexpr Duration min_report{200};
+constexpr std::size_t max_waiting = 2048;
+
+void set_bit(std::string& bits, std::size_t position) {
+  if (bits.size() <= position / 8)
+    bits.resize(position / 8 + 1);
+  bits[position / 8] =
+      static_cast<char>(static_cast<unsigned char>(bits[position / 8]) | 1u << (position % 8));
 }
 
 }  // namespace
 
-Pooling::Client::Client(Pooling& pooling, Channel channel)
+PoolerLoop::Client::Client(PoolerLoop& pooling, TcpConnection channel)
     : pooling(pooling),
       link(pooling.poller_, {[this](WireMessage&& message) {
                                session.take(std::move(message), Clock::now());
@@ -43,52 +43,52 @@
                                                                ? Verdict::too_long
                                                                : Verdict::garbled);
                                session.leave(Clock::now());
-                               this->pooling.bury(*this);
+                               this->pooling.defer_delete(*this);
                              }}),
       session(pooling) {
   link.admit(std::move(channel));
 }
 
-void Pooling::Client::on_due(Moment now) {
+void PoolerLoop::Client::on_due(TimePoint now) {
   session.on_due(now);
 }
 
-Pooling::Link::Link(Pooling& pooling, Lane& lane)
-    : wire(pooling.poller_, {[&lane](WireMessage&& message) {
-                               lane.take_message(std::move(message), Clock::now());
-                               return true;
-                             },
-                             [&lane](WireStep) {
-                               lane.take_end();
-                             }}) {
+PoolerLoop::Link::Link(PoolerLoop& pooling, DatabaseConnection& connection)
+    : transport(pooling.poller_, {[&connection](WireMessage&& message) {
+                                    connection.take_message(std::move(message), Clock::now());
+                                    return true;
+                                  },
+                                  [&connection](WireStep) {
+                                    connection.take_end();
+                                  }}) {
 }
 
-Pooling::Pooling(const Startup& startup)
-    : startup_(startup),
+PoolerLoop::PoolerLoop(const NodeSettings& settings)
+    : settings_(settings),
       readiness_(*this),
-      ready_server_(poller_, schedule_, readiness_, 64, 1 << 20),
+      ready_server_(poller_, timers_, readiness_, 64, 1 << 20),
       door_(*this),
       tick_(*this),
       views_(64, [this] { poller_.wake(); }),
-      holds_(64, [this] { poller_.wake(); }),
+      leases_(64, [this] { poller_.wake(); }),
       samples_in_(64, {}),
-      pool_({[this](Lane& lane) -> std::unique_ptr<LaneLink> {
-               auto link = std::make_unique<Link>(*this, lane);
-               if (!link->wire.connect(lane.backend().address))
+      pool_({[this](DatabaseConnection& connection) -> std::unique_ptr<DatabaseConnectionLink> {
+               auto link = std::make_unique<Link>(*this, connection);
+               if (!link->transport.connect(connection.backend().address))
                  return nullptr;
-               metrics().add(Metric::lanes_opened);
+               metrics().add(Metric::connections_opened);
                return link;
              },
-             [this](Backend& backend, const LogPlace& place, Moment asked) {
-               const Lead* lead = leads_->find(backend.service);
-               if (!lead || !holds_lead(backend, Clock::now()))
+             [this](Backend& backend, const LogPosition& position, TimePoint asked) {
+               const DatabaseLeadership* lead = leaderships_->find(backend.service);
+               if (!lead || !holds_leadership(backend, Clock::now()))
                  return;
-               samples_.note(backend.service, lead->number, place, asked);
-               own_samples_.note(backend.service, lead->number, place, asked);
+               samples_.note(backend.service, lead->number, position, asked);
+               own_samples_.note(backend.service, lead->number, position, asked);
                has_news_ = true;
              },
              [this](Backend& backend, bool is_fine) {
-               const Moment now = Clock::now();
+               const TimePoint now = Clock::now();
                Health& health = health_[&backend];
                (is_fine ? health.fine : health.failing) = now;
                if (is_fine)
@@ -98,27 +98,27 @@
                has_news_ = true;
              },
              [] { return Clock::now(); },
-             [this](std::unique_ptr<Lane> lane) {
-               lane_graves_.push_back(std::move(lane));
+             [this](std::unique_ptr<DatabaseConnection> connection) {
+               closed_connections_.push_back(std::move(connection));
              }}) {
 }
 
-Fault Pooling::open() {
-  if (Fault found = ready_server_.open(startup_.ready_check))
+Error PoolerLoop::open() {
+  if (Error found = ready_server_.open(settings_.ready_check))
     return found;
-  if (Fault found = door_.listener.open(startup_.front))
+  if (Error found = door_.listener.open(settings_.front))
     return found;
   poller_.watch(door_.listener.socket(), Poller::read, door_);
   return {};
 }
 
-void Pooling::Door::on_ready(bool, bool) {
+void PoolerLoop::Door::on_ready(bool, bool) {
   for (int round = 0; round < 64; ++round) {
     auto channel = listener.admit();
     if (!channel)
       return;
     if (pooling_.clients_.size() >=
-        static_cast<std::size_t>(pooling_.startup_.file_handles) * 3 / 4)
+        static_cast<std::size_t>(pooling_.settings_.file_handles) * 3 / 4)
       continue;  // closed by its destructor
     auto fresh = std::make_unique<Client>(pooling_, std::move(*channel));
     Client* client = fresh.get();
@@ -127,63 +127,63 @@
   }
 }
 
-void Pooling::bury(Client& client) {
+void PoolerLoop::defer_delete(Client& client) {
   const auto found = clients_.find(&client);
   if (found == clients_.end())
     return;
   waiting_.erase(&client.session);
-  schedule_.drop(client);
+  timers_.drop(client);
   client.link.close();
-  client_graves_.push_back(std::move(found->second));
+  closed_clients_.push_back(std::move(found->second));
   clients_.erase(found);
 }
 
-void Pooling::run() {
+void PoolerLoop::run() {
   tick(Clock::now());
   for (;;) {
-    poller_.poll(schedule_.until_next(Clock::now(), is_leaving_ ? Span(50) : Span(1000)));
-    const Moment now = Clock::now();
+    poller_.poll(timers_.until_next(Clock::now(), is_leaving_ ? Duration(50) : Duration(1000)));
+    const TimePoint now = Clock::now();
     auto views = views_.take();
     if (!views.empty())
       take_view(std::move(views.back()), now);
     for (const SampleNews& news : samples_in_.take())
       samples_.take(news.samples, news.built);
-    for (HoldNews& news : holds_.take())
-      take_hold(std::move(news), now);
-    schedule_.run(now);
+    for (LeadershipUpdate& news : leases_.take())
+      handle_leadership_lease(std::move(news), now);
+    timers_.run(now);
     ready_server_.reap();
-    for (auto& grave : client_graves_)
-      by_session_.erase(&grave->session);
-    client_graves_.clear();
-    lane_graves_.clear();
+    for (auto& closed : closed_clients_)
+      by_session_.erase(&closed->session);
+    closed_clients_.clear();
+    closed_connections_.clear();
     if (!should_leave_)
       continue;
     check_leaving(now);
-    if (is_leaving_ && (now - left_ > startup_.grace - before_end ||
+    if (is_leaving_ && (now - left_ > settings_.grace - before_end ||
                         (now - left_ > still_chosen && clients_.empty())))
       return;
   }
 }
 
-void Pooling::tick(Moment now) {
+void PoolerLoop::tick(TimePoint now) {
   if (pool_.is_restless())
-    pool_.check_late(most_greeting, most_preparing, now);
+    pool_.check_late(max_greeting, max_preparing, now);
   end_draining(now);
   if (!waiting_.empty())
     wake_waiting(now);
-  if (now - reported_ >= least_report)
+  if (now - reported_ >= min_report)
     report(now);
-  schedule_.set(tick_,
-                now + (pool_.is_restless() || !waiting_.empty() || !draining_.empty() ? busy_tick
-                                                                                      : calm_tick));
+  timers_.set(tick_,
+              now + (pool_.is_restless() || !waiting_.empty() || !draining_.empty() ? busy_tick
+                                                                                    : calm_tick));
 }
 
-void Pooling::take_view(ViewSnapshot view, Moment now) {
+void PoolerLoop::take_view(ViewSnapshot view, TimePoint now) {
   const bool is_first = !view_->configuration;
   view_ = std::move(view);
   std::map<std::string, BackendPointer> kept;
-  for (const RosterEntry& entry : view_->backends) {
-    BackendPointer backend = keep_backend(backends_, entry, startup_.localities, now);
+  for (const Endpoint& entry : view_->backends) {
+    BackendPointer backend = keep_backend(backends_, entry, settings_.zones, now);
     if (!backend)
       continue;
     if (backend->is_cancelled)
@@ -211,32 +211,32 @@
 }
 
 // Invariant: a table is confirmed only when nothing is done by the one before it any more.
-void Pooling::take_hold(HoldNews news, Moment now) {
-  hold_until_ = std::max(hold_until_, news.until);
-  if (news.leads && news.leads->mark > leads_->mark) {
-    const auto before = std::exchange(leads_, std::move(news.leads));
-    for (const Lead& lead : before->leads) {
-      const Lead* next = leads_->find(lead.service);
-      if (lead.phase != Lead::Phase::led ||
-          (next && next->id == lead.id && next->phase == Lead::Phase::led))
+void PoolerLoop::handle_leadership_lease(LeadershipUpdate news, TimePoint now) {
+  lease_until_ = std::max(lease_until_, news.until);
+  if (news.leaderships && news.leaderships->revision > leaderships_->revision) {
+    const auto before = std::exchange(leaderships_, std::move(news.leaderships));
+    for (const DatabaseLeadership& lead : before->leaderships) {
+      const DatabaseLeadership* next = leaderships_->find(lead.service);
+      if (lead.phase != DatabaseLeadership::Phase::led ||
+          (next && next->id == lead.id && next->phase == DatabaseLeadership::Phase::led))
         continue;
       const auto backend = backends_.find(lead.id);
       if (backend == backends_.end())
         continue;
       LOG(INFO) << "pooling: " << lead.service << " is led by " << lead.id << " no more";
-      if (next && next->is_planned && next->phase == Lead::Phase::closing &&
+      if (next && next->is_planned && next->phase == DatabaseLeadership::Phase::closing &&
           pool_.at_work(*backend->second))
-        draining_[lead.id] = now + most_draining;
+        draining_[lead.id] = now + max_draining;
       else
         pool_.leave(*backend->second, true);
     }
     end_draining(now);
-    schedule_.set(tick_, now + busy_tick);
+    timers_.set(tick_, now + busy_tick);
   }
   wake_waiting(now);
 }
 
-void Pooling::end_draining(Moment now) {
+void PoolerLoop::end_draining(TimePoint now) {
   std::erase_if(draining_, [&](const auto& item) {
     const auto backend = backends_.find(item.first);
     if (backend != backends_.end() && pool_.at_work(*backend->second) && now < item.second)
@@ -245,86 +245,88 @@
       pool_.leave(*backend->second, true);
     return true;
   });
-  if (!draining_.empty() || confirmed_mark_ == leads_->mark)
+  if (!draining_.empty() || confirmed_revision_ == leaderships_->revision)
     return;
-  confirmed_mark_ = leads_->mark;
-  if (follower_)
-    follower_->confirm_leads(confirmed_mark_);
+  confirmed_revision_ = leaderships_->revision;
+  if (control_client_)
+    control_client_->confirm_leaderships(confirmed_revision_);
 }
 
-void Pooling::wake_waiting(Moment now) {
+void PoolerLoop::wake_waiting(TimePoint now) {
   const std::set<Session*> woken = std::exchange(waiting_, {});
   for (Session* session : woken)
     if (by_session_.contains(session) && session->state() == Session::State::seeking)
       session->proceed(now);
 }
 
-void Pooling::report(Moment now) {
-  if (!has_news_ || !follower_)
+void PoolerLoop::report(TimePoint now) {
+  if (!has_news_ || !control_client_)
     return;
   has_news_ = false;
   reported_ = now;
   Evidence evidence;
-  evidence.mark = leads_->mark;
-  for (std::size_t place = 0; place < leads_->leads.size(); ++place) {
-    const auto backend = backends_.find(leads_->leads[place].id);
+  evidence.revision = leaderships_->revision;
+  for (std::size_t position = 0; position < leaderships_->leaderships.size(); ++position) {
+    const auto backend = backends_.find(leaderships_->leaderships[position].id);
     if (backend == backends_.end())
       continue;
     const auto health = health_.find(backend->second.get());
     if (health == health_.end())
       continue;
     const auto& [fine, failing, until, pause] = health->second;
-    if (fine != Moment{} && now - fine < heard_of_late && fine > failing)
-      set_bit(evidence.fine, place);
+    if (fine != TimePoint{} && now - fine < heard_of_late && fine > failing)
+      set_bit(evidence.fine, position);
     if (failing > fine && now - failing < heard_of_late)
-      set_bit(evidence.failing, place);
+      set_bit(evidence.failing, position);
   }
   evidence.samples = own_samples_.tell(now, oldest_told);
   evidence.built = now;
   metrics().set(Metric::visits, static_cast<std::int64_t>(clients_.size()));
-  metrics().set(Metric::lanes, static_cast<std::int64_t>(pool_.count()));
+  metrics().set(Metric::connections, static_cast<std::int64_t>(pool_.count()));
   metrics().set(Metric::waiting, static_cast<std::int64_t>(waiting_.size() + pool_.waiting()));
   metrics().set(Metric::ready, is_ready());
-  follower_->report(std::move(evidence));
+  control_client_->report(std::move(evidence));
 }
 
-BackendPointer Pooling::lead_of(const std::string& service, Moment now) const {
-  const Lead* lead = leads_->find(service);
-  if (!lead || lead->phase != Lead::Phase::led || now >= hold_until_)
+BackendPointer PoolerLoop::lead_of(const std::string& service, TimePoint now) const {
+  const DatabaseLeadership* lead = leaderships_->find(service);
+  if (!lead || lead->phase != DatabaseLeadership::Phase::led || now >= lease_until_)
     return nullptr;
   const auto found = backends_.find(lead->id);
   if (found == backends_.end())
     return nullptr;
   const auto emptying = emptying_.find(lead->id);
-  if (emptying != emptying_.end() && now - emptying->second > startup_.empty_out - emptying_margin)
+  if (emptying != emptying_.end() && now - emptying->second > settings_.empty_out - emptying_margin)
     return nullptr;
   return found->second;
 }
 
-bool Pooling::holds_lead(const Backend& backend, Moment now) const {
-  const Lead* lead = leads_->find(backend.service);
-  if (!lead || lead->id != backend.id || now >= hold_until_)
+bool PoolerLoop::holds_leadership(const Backend& backend, TimePoint now) const {
+  const DatabaseLeadership* lead = leaderships_->find(backend.service);
+  if (!lead || lead->id != backend.id || now >= lease_until_)
     return false;
-  return lead->phase == Lead::Phase::led || draining_.contains(backend.id);
+  return lead->phase == DatabaseLeadership::Phase::led || draining_.contains(backend.id);
 }
 
-int Pooling::cost(const Backend& backend) const {
-  return backend.locality == startup_.locality ? 0 : backend.region == startup_.region ? 1 : 2;
+int PoolerLoop::cost(const Backend& backend) const {
+  return backend.zone == settings_.zone ? 0 : backend.region == settings_.region ? 1 : 2;
 }
 
-DatabaseChoice Pooling::choose(const Session& session, const std::string& service, const Rule& rule,
-                               bool must_lead, Moment began, Moment now) {
+DatabaseChoice PoolerLoop::choose(const Session& session, const std::string& service,
+                                  const Route& route, bool must_lead, TimePoint began,
+                                  TimePoint now) {
   DatabaseChoice choice{lead_of(service, now), true, {}};
-  if (must_lead || rule.sight == Sight::leader || rule.read_age <= Span(0))
+  if (must_lead || route.read_consistency == ReadConsistency::leader ||
+      route.read_age <= Duration(0))
     return choice;
-  const Lead* lead = leads_->find(service);
+  const DatabaseLeadership* lead = leaderships_->find(service);
   if (!lead)
     return choice;
-  LogPlace after = samples_.find(service, lead->number, began - rule.read_age);
+  LogPosition after = samples_.find(service, lead->number, began - route.read_age);
   if (!after.is_known())
     return choice;
-  if (rule.sight == Sight::own_writes)
-    after = std::max(after, session.own_place());
+  if (route.read_consistency == ReadConsistency::own_writes)
+    after = std::max(after, session.own_position());
   BackendPointer best = choice.backend;
   const auto found = by_service_.find(service);
   if (found == by_service_.end())
@@ -346,18 +348,18 @@
   return choice;
 }
 
-bool Pooling::may_wait(Session& session) {
-  if (waiting_.size() >= most_waiting)
+bool PoolerLoop::may_wait(Session& session) {
+  if (waiting_.size() >= max_waiting)
     return false;
   waiting_.insert(&session);
-  schedule_.set(tick_, Clock::now() + busy_tick);
+  timers_.set(tick_, Clock::now() + busy_tick);
   return true;
 }
 
-void Pooling::see_refusal(Backend& backend, Verdict verdict, Moment now) {
+void PoolerLoop::see_refusal(Backend& backend, Verdict verdict, TimePoint now) {
   Health& health = health_[&backend];
   if (verdict == Verdict::lagging) {
-    health.lag_pause = std::clamp(health.lag_pause * 2, first_lag_pause, longest_lag_pause);
+    health.lag_pause = std::clamp(health.lag_pause * 2, first_lag_pause, max_lag_pause);
     health.lagging_until = now + health.lag_pause;
   } else if (verdict == Verdict::readonly || verdict == Verdict::wrong_host) {
     health.failing = now;
@@ -365,7 +367,7 @@
   }
 }
 
-void Pooling::say(Session& session, std::string bytes) {
+void PoolerLoop::say(Session& session, std::string bytes) {
   const auto found = by_session_.find(&session);
   if (found == by_session_.end())
     return;
@@ -374,46 +376,46 @@
     client.link.close();
   if (client.link.is_ended()) {
     session.leave(Clock::now());
-    return bury(client);
+    return defer_delete(client);
   }
   if (!session.is_busy())
     client.link.resume();
 }
 
-void Pooling::close(Session& session) {
+void PoolerLoop::close(Session& session) {
   if (const auto found = by_session_.find(&session); found != by_session_.end())
     found->second->link.finish();
 }
 
-void Pooling::set_due(Session& session, Moment due) {
+void PoolerLoop::set_due(Session& session, TimePoint due) {
   const auto found = by_session_.find(&session);
   if (found == by_session_.end())
     return;
-  if (due == Moment::max())
-    schedule_.drop(*found->second);
+  if (due == TimePoint::max())
+    timers_.drop(*found->second);
   else
-    schedule_.set(*found->second, due);
+    timers_.set(*found->second, due);
 }
 
-int Pooling::most_lanes(const Service& service) const {
+int PoolerLoop::max_connections(const Service& service) const {
   const auto poolers = static_cast<int>(std::max<std::uint64_t>(1, view_->brokers));
-  return std::max(1, service.most_connections * 4 / 5 / poolers);
+  return std::max(1, service.max_connections * 4 / 5 / poolers);
 }
 
-void Pooling::check_leaving(Moment now) {
+void PoolerLoop::check_leaving(TimePoint now) {
   if (!is_leaving_) {
     is_leaving_ = true;
     left_ = now;
     LOG(INFO) << "pooling: leaving, " << clients_.size() << " sessions open";
   }
-  if (now - left_ <= std::min(still_chosen, startup_.grace / 2))
+  if (now - left_ <= std::min(still_chosen, settings_.grace / 2))
     return;
   if (door_.listener.is_open()) {
     door_.on_ready(true, false);  // whoever waits at the door still comes in
     poller_.leave(door_.listener.socket());
     door_.listener.close();
   }
-  const bool may_change = now - left_ < startup_.grace / 2;
+  const bool may_change = now - left_ < settings_.grace / 2;
   std::vector<Client*> ending;
   for (const auto& [client, kept] : clients_) {
     if (client->session.is_busy())
@@ -428,20 +430,20 @@
       continue;
     client->session.leave(now);
     client->link.finish();
-    bury(*client);
+    defer_delete(*client);
   }
 }
 
-void Pooling::Readiness::on_request(Visit& visit, Moment now) {
-  const std::string& target = visit.request().getURI();
+void PoolerLoop::Readiness::on_request(ServerExchange& exchange, TimePoint now) {
+  const std::string& target = exchange.request().getURI();
   if (target == row_of(Call::metrics).path)
-    return visit.answer(
+    return exchange.answer(
         {200, "OK", "Content-Type: text/plain; version=0.0.4\r\n", metrics().page()}, now);
   if (target.substr(0, target.find('?')) != row_of(Call::readiness).path)
-    return visit.answer(reply_of(Kind::no_rule), now);
+    return exchange.answer(reply_of(ErrorCode::no_route), now);
   if (pooling_.is_ready())
-    return visit.answer({200, "OK", "", "ready\n"}, now);
-  visit.answer(reply_of(pooling_.is_leaving_ ? Kind::draining : Kind::not_ready), now);
+    return exchange.answer({200, "OK", "", "ready\n"}, now);
+  exchange.answer(reply_of(pooling_.is_leaving_ ? ErrorCode::draining : ErrorCode::not_ready), now);
 }
 
 }  // namespace saddlewing
--- a/src/programs/pooling.h
+++ b/src/programs/pooling.h
@@ -16,21 +16,21 @@
 
 namespace saddlewing {
 
-class Pooling final : public SessionGround {
+class PoolerLoop final : public SessionContext {
  public:
-  explicit Pooling(const Startup& startup);
-  Fault open();
+  explicit PoolerLoop(const NodeSettings& settings);
+  Error open();
   void start() {
     thread_ = std::thread([this] { run(); });
   }
-  void set_follower(Follower& follower) {
-    follower_ = &follower;
+  void set_follower(ControlPlaneClient& follower) {
+    control_client_ = &follower;
   }
   void show(ViewSnapshot view) {
     views_.replace(std::move(view));
   }
-  void hold(HoldNews news) {
-    holds_.push(std::move(news));
+  void lease(LeadershipUpdate news) {
+    leases_.push(std::move(news));
   }
   void sample(SampleNews news) {
     samples_in_.push(std::move(news));
@@ -47,127 +47,127 @@
   const ConfigurationSnapshot& configuration() const override {
     return view_->configuration;
   }
-  DatabaseChoice choose(const Session& session, const std::string& service, const Rule& rule,
-                        bool must_lead, Moment began, Moment now) override;
-  bool holds_lead(const Backend& backend, Moment now) const override;
+  DatabaseChoice choose(const Session& session, const std::string& service, const Route& route,
+                        bool must_lead, TimePoint began, TimePoint now) override;
+  bool holds_leadership(const Backend& backend, TimePoint now) const override;
   bool may_wait(Session& session) override;
   void stop_waiting(Session& session) override {
     waiting_.erase(&session);
   }
-  void see_refusal(Backend& backend, Verdict verdict, Moment now) override;
+  void see_refusal(Backend& backend, Verdict verdict, TimePoint now) override;
   void say(Session& session, std::string bytes) override;
   void close(Session& session) override;
-  void set_due(Session& session, Moment due) override;
-  Pool& pool() override {
+  void set_due(Session& session, TimePoint due) override;
+  DatabaseConnectionPool& pool() override {
     return pool_;
   }
-  int most_lanes(const Service& service) const override;
+  int max_connections(const Service& service) const override;
 
  private:
   // One client's connection. Invariant: idle, it costs this object and its session, and no moment
   // in the schedule.
   struct Client final : Scheduled {
-    Client(Pooling& pooling, Channel channel);
-    Pooling& pooling;
-    WireLink link;
+    Client(PoolerLoop& pooling, TcpConnection channel);
+    PoolerLoop& pooling;
+    DatabaseTransport link;
     Session session;
-    void on_due(Moment now) override;
+    void on_due(TimePoint now) override;
   };
-  struct Link final : LaneLink {
-    Link(Pooling& pooling, Lane& lane);
+  struct Link final : DatabaseConnectionLink {
+    Link(PoolerLoop& pooling, DatabaseConnection& connection);
     bool send(const std::string& bytes) override {
-      return wire.send(bytes);
+      return transport.send(bytes);
     }
     void close() override {
-      wire.close();
+      transport.close();
     }
-    WireLink wire;
+    DatabaseTransport transport;
   };
   class Door final : public Watcher {
    public:
-    explicit Door(Pooling& pooling) : pooling_(pooling) {
+    explicit Door(PoolerLoop& pooling) : pooling_(pooling) {
     }
     void on_ready(bool is_readable, bool is_writable) override;
     Listener listener;
 
    private:
-    Pooling& pooling_;
+    PoolerLoop& pooling_;
   };
   struct Tick final : Scheduled {
-    explicit Tick(Pooling& pooling) : pooling(pooling) {
+    explicit Tick(PoolerLoop& pooling) : pooling(pooling) {
     }
-    Pooling& pooling;
-    void on_due(Moment now) override {
+    PoolerLoop& pooling;
+    void on_due(TimePoint now) override {
       pooling.tick(now);
     }
   };
-  class Readiness final : public Server::Handler {
+  class Readiness final : public HttpServer::Handler {
    public:
-    explicit Readiness(const Pooling& pooling) : pooling_(pooling) {
+    explicit Readiness(const PoolerLoop& pooling) : pooling_(pooling) {
     }
-    void on_request(Visit& visit, Moment now) override;
-    void on_gone(Visit&) override {
+    void on_request(ServerExchange& exchange, TimePoint now) override;
+    void on_gone(ServerExchange&) override {
     }
 
    private:
-    const Pooling& pooling_;
+    const PoolerLoop& pooling_;
   };
   struct Health {  // of one backend, as seen here
-    Moment fine{}, failing{};
-    Moment lagging_until{};
-    Span lag_pause{0};
+    TimePoint fine{}, failing{};
+    TimePoint lagging_until{};
+    Duration lag_pause{0};
   };
 
   void run();
-  void tick(Moment now);
-  void take_view(ViewSnapshot view, Moment now);
-  void take_hold(HoldNews news, Moment now);
-  void end_draining(Moment now);
-  void wake_waiting(Moment now);
-  void report(Moment now);
-  void check_leaving(Moment now);
-  void bury(Client& client);
+  void tick(TimePoint now);
+  void take_view(ViewSnapshot view, TimePoint now);
+  void handle_leadership_lease(LeadershipUpdate news, TimePoint now);
+  void end_draining(TimePoint now);
+  void wake_waiting(TimePoint now);
+  void report(TimePoint now);
+  void check_leaving(TimePoint now);
+  void defer_delete(Client& client);
   bool is_ready() const {
-    return view_->is_ready && leads_->mark > 0 && !is_leaving_;
+    return view_->is_ready && leaderships_->revision > 0 && !is_leaving_;
   }
-  BackendPointer lead_of(const std::string& service, Moment now) const;
+  BackendPointer lead_of(const std::string& service, TimePoint now) const;
   int cost(const Backend& backend) const;
 
-  const Startup startup_;
+  const NodeSettings settings_;
   Poller poller_;
-  Schedule schedule_;
+  TimerQueue timers_;
   Readiness readiness_;
-  Server ready_server_;
+  HttpServer ready_server_;
   Door door_;
   Tick tick_;
-  Follower* follower_ = nullptr;
-  Ring<ViewSnapshot> views_;
-  Ring<HoldNews> holds_;
-  Ring<SampleNews> samples_in_;
+  ControlPlaneClient* control_client_ = nullptr;
+  BoundedQueue<ViewSnapshot> views_;
+  BoundedQueue<LeadershipUpdate> leases_;
+  BoundedQueue<SampleNews> samples_in_;
   ViewSnapshot view_ = std::make_shared<View>();
   std::map<std::string, BackendPointer> backends_;  // by id
   std::unordered_map<std::string, std::vector<BackendPointer>> by_service_;
-  std::unordered_map<std::string, Moment> emptying_;  // since when, by id
+  std::unordered_map<std::string, TimePoint> emptying_;  // since when, by id
   std::unordered_map<const Backend*, Health> health_;
 
-  // Invariant: a lead is used only while `now` is before `hold_until_`, and only as this table has
+  // Invariant: a lead is used only while `now` is before `lease_until_`, and only as this table has
   // it.
-  std::shared_ptr<const LeadTable> leads_ = std::make_shared<LeadTable>();
-  Moment hold_until_{};
-  std::map<std::string, Moment>
+  std::shared_ptr<const LeadershipTable> leaderships_ = std::make_shared<LeadershipTable>();
+  TimePoint lease_until_{};
+  std::map<std::string, TimePoint>
       draining_;  // leads given up in good order, by id: until when their transactions may go on
-  std::uint64_t confirmed_mark_ = 0;
-  Samples samples_, own_samples_;  // all that are known; those seen here, to be told
+  std::uint64_t confirmed_revision_ = 0;
+  LogPositionSamples samples_, own_samples_;  // all that are known; those seen here, to be told
 
-  Pool pool_;
+  DatabaseConnectionPool pool_;
   std::unordered_map<const Session*, Client*> by_session_;
   std::unordered_map<Client*, std::unique_ptr<Client>> clients_;
-  std::vector<std::unique_ptr<Client>> client_graves_;
-  std::vector<std::unique_ptr<Lane>> lane_graves_;
-  std::vector<std::unique_ptr<LaneLink>> link_graves_;
+  std::vector<std::unique_ptr<Client>> closed_clients_;
+  std::vector<std::unique_ptr<DatabaseConnection>> closed_connections_;
+  std::vector<std::unique_ptr<DatabaseConnectionLink>> closed_links_;
   std::set<Session*> waiting_;
   bool is_leaving_ = false, has_news_ = false;
-  Moment left_{}, reported_{};
+  TimePoint left_{}, reported_{};
   std::atomic<bool> should_leave_ = false;
   std::thread thread_;
 };
--- a/src/programs/registry_program.cpp
+++ b/src/programs/registry_program.cpp
@@ -23,50 +23,52 @@
 
 int run_registry(const std::string& startup_path) {
   Signals signals(startup_path);
-  std::optional<Startup> read = signals.await_startup(startup_path, true);
+  std::optional<NodeSettings> read = signals.await_node_settings(startup_path, true);
   if (!read) {
     LOG(INFO) << "registry: ended";
     return 0;
   }
-  Startup startup = std::move(*read);
-  Store store(startup.data_folder);
+  NodeSettings settings = std::move(*read);
+  DurableStore store(settings.data_folder);
   bool has_waited = false;
   const auto wait = [&] {
     has_waited = true;
     signals.wait(1000);
     return !signals.is_ending();
   };
-  std::optional<Durable> durable = load_or_found(startup, store, MemberId{draw_number()}, wait);
-  if (!durable) {
+  std::optional<PersistentState> persistent =
+      load_or_found(settings, store, MemberId{draw_number()}, wait);
+  if (!persistent) {
     LOG(INFO) << "registry: ended";
     return 0;
   }
-  if (Startup changed; has_waited && !read_startup(startup_path, true, changed))
-    startup = std::move(changed);
-  auto core = std::make_unique<Core>(startup, std::move(*durable), LifeId{draw_number()});
-  Desk desk(startup, core->events());
-  Lookout lookout(startup, core->events());
-  Vault vault(store, core->events());
-  Envoy envoy(startup, core->events());
-  for (const Fault& found : {core->open(), desk.open()})
+  if (NodeSettings changed; has_waited && !read_node_settings(startup_path, true, changed))
+    settings = std::move(changed);
+  auto core =
+      std::make_unique<ControlLoop>(settings, std::move(*persistent), IncarnationId{draw_number()});
+  OperatorApi operator_api(settings, core->events());
+  BackendMonitor monitor(settings, core->events());
+  StorageThread storage(store, core->events());
+  CommandDispatcher dispatcher(settings, core->events());
+  for (const Error& found : {core->open(), operator_api.open()})
     if (found) {
       LOG(ERROR) << "startup: " << found.text();
       return 1;
     }
-  vault.start();
-  desk.start();
-  lookout.start();
-  envoy.start();
-  core->start(desk, lookout, vault, envoy);
-  LOG(INFO) << "registry: started as " << startup.node_name;
+  storage.start();
+  operator_api.start();
+  monitor.start();
+  dispatcher.start();
+  core->start(operator_api, monitor, storage, dispatcher);
+  LOG(INFO) << "registry: started as " << settings.node_name;
   signals.serve(startup_path, true,
-                [&](const Startup& changed) { core->set_contacts(changed.contacts); });
+                [&](const NodeSettings& changed) { core->set_contacts(changed.contacts); });
   core->leave();
   core->join();
-  desk.stop();
-  lookout.stop();
-  envoy.stop();
-  vault.stop();
+  operator_api.stop();
+  monitor.stop();
+  dispatcher.stop();
+  storage.stop();
   LOG(INFO) << "registry: ended";
   google::FlushLogFiles(google::INFO);
   ::_exit(0);  // a thread stuck on the disk is left behind
--- a/src/programs/ring_program.cpp
+++ b/src/programs/ring_program.cpp
@@ -83,14 +83,15 @@
 int run_ring(const std::vector<std::string>& words, const std::vector<std::string>& contacts,
              bool is_json, int wait_ms) {
   RingCall call{words[0], {}};
-  for (std::size_t place = 1; place < words.size(); ++place)
-    (call.text += place > 1 ? " " : "") += words[place];
+  for (std::size_t position = 1; position < words.size(); ++position)
+    (call.text += position > 1 ? " " : "") += words[position];
   if (call.verb == "apply") {
     std::ifstream file(words[1]);
     std::ostringstream text;
     text << file.rdbuf();
     RingMap ring;
-    const Fault found = file ? read_ring(text.str(), ring) : fault(Kind::unreadable, "ring file");
+    const Error found =
+        file ? read_ring(text.str(), ring) : make_error(ErrorCode::unreadable, "ring file");
     if (found) {
       std::cerr << "ring: " << words[1] << ": " << found.text() << "\n";
       return failed;
@@ -98,7 +99,7 @@
     call.text = text.str();
   }
   RingAnswer answer;
-  if (!ask_leader(contacts, call, Span(wait_ms), answer)) {
+  if (!ask_leader(contacts, call, Duration(wait_ms), answer)) {
     std::cerr << "ring: no registry that leads answered within " << wait_ms << " ms\n";
     return failed;
   }
--- a/src/programs/rings.h
+++ b/src/programs/rings.h
@@ -22,7 +22,7 @@
   std::string body;
 };
 
-struct OperatorOutcome {  // agree to steering
+struct OperatorReply {  // agree to steering
   std::uint64_t token = 0;
   bool is_done = false;
   std::string body;
@@ -30,13 +30,13 @@
 
 struct BackendCall {  // steering to agree: a backend tells of itself
   std::uint64_t token = 0;
-  RosterEntry entry;  // phase gone: it leaves
+  Endpoint entry;  // phase gone: it leaves
 };
 struct Examined {  // envoy to agree: what came of an order to a database
   std::uint64_t token = 0;
   std::optional<DatabaseStatus> status;
 };
-struct Raised {  // envoy to agree: what the platform said; 0: nothing
+struct PromotionResult {  // envoy to agree: what the platform said; 0: nothing
   std::uint64_t token = 0;
   int status = 0;
 };
@@ -44,13 +44,13 @@
   std::uint64_t token = 0;
   NodeAnswer answer;
 };
-struct EnvoyOrder {  // agree to envoy
+struct DispatchedCommand {  // agree to envoy
   std::uint64_t token = 0;
   std::string service, id, address;  // of a database
   std::string text;                  // empty: the call of duty for this backend
   std::string node_order;            // to a node of the ring instead: JSON
   std::uint64_t owner_number = 0;    // the term under whose lease it was decided
-  Moment until{};  // nothing of it leaves after that, unless the lease of that term was extended
+  TimePoint until{};  // nothing of it leaves after that, unless the lease of that term was extended
 };
 
 struct Saved {  // disk to agree
@@ -58,13 +58,13 @@
   bool is_saved = false;
 };
 struct Listed {  // watch to agree: one complete listing
-  std::vector<RosterEntry> entries;
+  std::vector<Endpoint> entries;
 };
 struct Renewed {  // watch to agree: a probe was answered
   std::string id;
 };
-using CoreEvent =
-    std::variant<OperatorCall, Saved, Listed, Renewed, BackendCall, Examined, Raised, NodeTold>;
+using ControlEvent = std::variant<OperatorCall, Saved, Listed, Renewed, BackendCall, Examined,
+                                  PromotionResult, NodeTold>;
 
 struct WatchTarget {
   std::string id, address, health_path;
--- a/src/programs/signals.h
+++ b/src/programs/signals.h
@@ -48,13 +48,13 @@
   }
   // The first settings that can be used. A wrong file is named once and waited for; nothing is
   // begun by it. None: told to end.
-  std::optional<Startup> await_startup(const std::string& path, bool is_registry) {
+  std::optional<NodeSettings> await_node_settings(const std::string& path, bool is_registry) {
     bool was_named = false;
     while (!should_stop_) {
-      Startup startup;
-      const Fault found = read_startup(path, is_registry, startup);
+      NodeSettings settings;
+      const Error found = read_node_settings(path, is_registry, settings);
       if (!found)
-        return startup;
+        return settings;
       if (!std::exchange(was_named, true))
         LOG(ERROR) << "startup: refused, waits for a better one: " << found.text();
       wait(1000);
@@ -64,13 +64,13 @@
   // Until SIGTERM; a startup read again goes to `take`, a wrong one is logged and the old one
   // stays.
   void serve(const std::string& path, bool is_registry,
-             const std::function<void(const Startup&)>& take) {
+             const std::function<void(const NodeSettings&)>& take) {
     while (!should_stop_) {
       wait(1000);
       if (!should_reload(path))
         continue;
-      Startup changed;
-      if (Fault found = read_startup(path, is_registry, changed)) {
+      NodeSettings changed;
+      if (Error found = read_node_settings(path, is_registry, changed)) {
         LOG(ERROR) << "startup: kept as it was: " << found.text();
         continue;
       }
--- a/src/programs/tracer_program.cpp
+++ b/src/programs/tracer_program.cpp
@@ -16,31 +16,31 @@
 
 struct Found {
   Traced traced;
-  Moment heard;
+  TimePoint last_contact;
 };
 
 // Asks nodes as they become known, until all have answered or the time is over.
 class Inquiry {
  public:
-  Inquiry(const std::vector<std::string>& contacts, Span most) : until_(Clock::now() + most) {
+  Inquiry(const std::vector<std::string>& contacts, Duration limit) : until_(Clock::now() + limit) {
     for (const std::string& contact : contacts)
       add(contact);
   }
   void run() {
-    while (Clock::now() < until_ && found_.size() < spokes_.size()) {
-      const Moment now = Clock::now();
+    while (Clock::now() < until_ && found_.size() < clients_.size()) {
+      const TimePoint now = Clock::now();
       std::vector<void*> handles;
-      for (const auto& [address, spoke] : spokes_) {
-        handles.push_back(spoke->handle());
+      for (const auto& [address, client] : clients_) {
+        handles.push_back(client->handle());
         if (!found_.contains(address) && now - asked_[address] >= ask_again &&
-            spoke->send(encode_trace({FrameKind::trace, {}, {}})))
+            client->send(encode_trace({FrameKind::trace, {}, {}})))
           asked_[address] = now;
       }
-      wait_links(handles, waker_, std::min(ask_again, std::chrono::ceil<Span>(until_ - now)));
+      wait_links(handles, waker_, std::min(ask_again, std::chrono::ceil<Duration>(until_ - now)));
       std::vector<std::string> heard_of;
-      for (const auto& [address, spoke] : spokes_)
-        while (const auto parcel = spoke->receive()) {
-          ByteReader reader(parcel->bytes);
+      for (const auto& [address, client] : clients_)
+        while (const auto frame = client->receive()) {
+          ByteReader reader(frame->bytes);
           FrameHead head;
           Traced traced;
           if (!decode_head(reader, head) || head.kind != FrameKind::traced ||
@@ -59,40 +59,40 @@
   }
   std::vector<std::string> silent() const {
     std::vector<std::string> silent;
-    for (const auto& [address, spoke] : spokes_)
+    for (const auto& [address, client] : clients_)
       if (!found_.contains(address))
         silent.push_back(address);
     return silent;
   }
 
  private:
-  static constexpr Span ask_again{100};
+  static constexpr Duration ask_again{100};
   void add(const std::string& text) {
     Address address;
-    if (!spokes_.contains(text) && parse_address(text, address))
-      spokes_[text] = std::make_unique<Spoke>(context_, address);
+    if (!clients_.contains(text) && parse_address(text, address))
+      clients_[text] = std::make_unique<FrameClient>(context_, address);
   }
-  Moment until_;
+  TimePoint until_;
   LinkContext context_;
   Waker waker_;
-  std::map<std::string, std::unique_ptr<Spoke>> spokes_;
-  std::map<std::string, Moment> asked_;
+  std::map<std::string, std::unique_ptr<FrameClient>> clients_;
+  std::map<std::string, TimePoint> asked_;
   std::map<std::string, Found> found_;
 };
 
 struct Line {
   std::string node, role, address, what;
-  Moment when{};
+  TimePoint when{};
 };
 
-void print_json(Version version, const std::vector<Line>& lines, Moment first,
+void print_json(Version version, const std::vector<Line>& lines, TimePoint first,
                 const Inquiry& inquiry) {
   Json::Value root(Json::objectValue);
   root["edition"] = static_cast<Json::Int64>(version.value);
   root["steps"] = Json::Value(Json::arrayValue);
   for (const Line& line : lines) {
     Json::Value step(Json::objectValue);
-    step["at_ms"] = static_cast<Json::Int64>(span_between(first, line.when).count());
+    step["at_ms"] = static_cast<Json::Int64>(elapsed(first, line.when).count());
     step["node"] = line.node;
     step["role"] = line.role;
     step["address"] = line.address;
@@ -115,7 +115,7 @@
   std::cout << root.toStyledString();
 }
 
-void print_table(Version version, const std::vector<Line>& lines, Moment first,
+void print_table(Version version, const std::vector<Line>& lines, TimePoint first,
                  const Inquiry& inquiry) {
   std::size_t width = 4;
   for (const auto& [address, found] : inquiry.found())
@@ -124,8 +124,8 @@
               static_cast<int>(width), "node", "role", "step");
   for (const Line& line : lines)
     std::printf("%8lld  %-*s  %-8s  %s\n",
-                static_cast<long long>(span_between(first, line.when).count()),
-                static_cast<int>(width), line.node.c_str(), line.role.c_str(), line.what.c_str());
+                static_cast<long long>(elapsed(first, line.when).count()), static_cast<int>(width),
+                line.node.c_str(), line.role.c_str(), line.what.c_str());
   for (const auto& [address, found] : inquiry.found())
     if (found.traced.held < version)
       std::printf("lags: %s (%s) holds edition %lld\n", found.traced.node.c_str(), address.c_str(),
@@ -136,10 +136,10 @@
 
 }  // namespace
 
-int run_tracer(std::int64_t number, const std::vector<std::string>& contacts, bool is_json,
-               int wait_ms) {
+int run_trace(std::int64_t number, const std::vector<std::string>& contacts, bool is_json,
+              int wait_ms) {
   const Version version{number};
-  Inquiry inquiry(contacts, Span(wait_ms));
+  Inquiry inquiry(contacts, Duration(wait_ms));
   inquiry.run();
   if (inquiry.found().empty()) {
     for (const std::string& contact : contacts)
@@ -155,7 +155,7 @@
     for (const Step& step : found.traced.steps)
       if (step.version == version)
         lines.push_back({found.traced.node, found.traced.role, address, step.what,
-                         found.heard - Span(static_cast<std::int64_t>(step.age))});
+                         found.last_contact - Duration(static_cast<std::int64_t>(step.age))});
   }
   if (lines.empty()) {
     std::cerr << "tracer: edition " << number
@@ -167,7 +167,7 @@
   }
   std::sort(lines.begin(), lines.end(),
             [](const Line& left, const Line& right) { return left.when < right.when; });
-  const Moment first = lines.front().when;
+  const TimePoint first = lines.front().when;
   if (is_json)
     print_json(version, lines, first, inquiry);
   else
--- a/src/programs/traffic.cpp
+++ b/src/programs/traffic.cpp
@@ -11,14 +11,14 @@
 namespace saddlewing {
 namespace {
 
-constexpr Span still_chosen{
+constexpr Duration still_chosen{
     2500};  // after SIGTERM the platform may go on sending for two missed checks
-constexpr Span warm_span{8000};     // how long a connection is kept before its first asking
-constexpr Span in_use_span{20000};  // after its last asking a backend is in use
-constexpr Span warm_pause{3000};    // between connections opened in advance to one backend
-constexpr Span before_end{700};     // of the grace, kept for the end itself
+constexpr Duration warm_span{8000};     // how long a connection is kept before its first asking
+constexpr Duration in_use_span{20000};  // after its last asking a backend is in use
+constexpr Duration warm_pause{3000};    // between connections opened in advance to one backend
+constexpr Duration before_end{700};     // of the grace, kept for the end itself
 
-Span parse_time_left(const std::string& text, Span otherwise) {
+Duration parse_time_left(const std::string& text, Duration otherwise) {
   if (text.empty() || text.size() > 9)
     return otherwise;
   std::int64_t value = 0;
@@ -27,7 +27,7 @@
       return otherwise;
     value = value * 10 + (digit - '0');
   }
-  return Span(value);
+  return Duration(value);
 }
 
 std::string lower(std::string text) {
@@ -43,7 +43,7 @@
   const std::string nominated = "," + lower(request.get("Connection", "")) + ",";
   for (const auto& [name, value] : request) {
     if (is_hop_field(name) || is_same_name(name, field::time_left) ||
-        is_same_name(name, field::meant_server) || is_same_name(name, field::ring_mark) ||
+        is_same_name(name, field::meant_server) || is_same_name(name, field::ring_revision) ||
         is_same_name(name, field::ring_show) || is_same_name(name, field::ring_hide))
       continue;
     if (nominated.size() > 2 && nominated.find(lower(name)) != std::string::npos &&
@@ -63,7 +63,8 @@
   const std::size_t index = view.map.index_of(node);
   if (index == view.map.nodes.size())
     return {};
-  std::string fields = std::string(field::ring_mark) + ": " + std::to_string(view.mark) + "\r\n";
+  std::string fields =
+      std::string(field::ring_revision) + ": " + std::to_string(view.revision) + "\r\n";
   if (const auto told = view.tellings.find(index); told != view.tellings.end())
     fields += std::string(told->second.is_shown ? field::ring_show : field::ring_hide) + ": " +
               told->second.unit.text() + "\r\n";
@@ -72,52 +73,52 @@
 
 }  // namespace
 
-void Trip::on_due(Moment now) {
-  const auto kept = traffic.trips_.find(asker.get());
-  const TripPointer self = kept != traffic.trips_.end() ? kept->second : nullptr;
-  asker->on_due(now);
+void RequestContext::on_due(TimePoint now) {
+  const auto kept = traffic.contexts_.find(requester.get());
+  const RequestContextPointer self = kept != traffic.contexts_.end() ? kept->second : nullptr;
+  requester->on_due(now);
   traffic.arrange(*this);
 }
 
-Traffic::Traffic(const Startup& startup, LifeId life)
-    : startup_(startup),
-      server_(poller_, schedule_, *this, static_cast<std::size_t>(startup.file_handles) / 3,
-              startup.memory_bytes / 4),
+BrokerLoop::BrokerLoop(const NodeSettings& settings, IncarnationId incarnation)
+    : settings_(settings),
+      server_(poller_, timers_, *this, static_cast<std::size_t>(settings.file_handles) / 3,
+              settings.memory_bytes / 4),
       readiness_(*this),
-      ready_server_(poller_, schedule_, readiness_, 64, 1 << 20),
+      ready_server_(poller_, timers_, readiness_, 64, 1 << 20),
       views_(64, [this] { poller_.wake(); }),
-      picker_({startup.locality, startup.region}, life.value),
-      draw_(static_cast<std::uint32_t>(life.value)),
-      aid_events_(4096, [this] { poller_.wake(); }),
-      life_(life),
+      picker_({settings.zone, settings.region}, incarnation.value),
+      draw_(static_cast<std::uint32_t>(incarnation.value)),
+      delegation_events_(4096, [this] { poller_.wake(); }),
+      incarnation_(incarnation),
       ring_news_(64, [this] { poller_.wake(); }),
       alert_rules_(4, [this] { poller_.wake(); }),
       edge_news_(64, [this] { poller_.wake(); }),
-      edge_gate_(startup.region, life.value, edge_options(startup)),
-      classes_(startup.heavy_times) {
+      edge_selector_(settings.region, incarnation.value, edge_options(settings)),
+      classes_(settings.heavy_times) {
 }
 
-Fault Traffic::open() {
-  if (Fault found = ready_server_.open(startup_.ready_check))
+Error BrokerLoop::open() {
+  if (Error found = ready_server_.open(settings_.ready_check))
     return found;
-  return server_.open(startup_.front);
+  return server_.open(settings_.front);
 }
 
-void Traffic::start() {
+void BrokerLoop::start() {
   thread_ = std::thread([this] { run(); });
 }
 
-void Traffic::run() {
-  if (startup_.has_edges)
+void BrokerLoop::run() {
+  if (settings_.has_edges)
     edge_clock_.on_due(Clock::now());
   for (;;) {
-    poller_.poll(schedule_.until_next(Clock::now(), is_leaving_ ? Span(50) : Span(1000)));
-    const Moment now = Clock::now();
+    poller_.poll(timers_.until_next(Clock::now(), is_leaving_ ? Duration(50) : Duration(1000)));
+    const TimePoint now = Clock::now();
     auto views = views_.take();
     if (!views.empty())
       take_view(std::move(views.back()), now);
-    for (auto& rules : alert_rules_.take()) {
-      alerts_.replace(std::move(rules));
+    for (auto& routes : alert_rules_.take()) {
+      alerts_.replace(std::move(routes));
       if (!alerts_.is_empty())
         alert_clock_.on_due(now);
     }
@@ -125,41 +126,41 @@
       take_ring(std::move(news), now);
     for (EdgeNews& news : edge_news_.take())
       take_edges(std::move(news), now);
-    for (AidEvent& event : aid_events_.take())
-      take_aid_event(event, now);
-    schedule_.run(now);
+    for (DelegationEvent& event : delegation_events_.take())
+      handle_delegation_event(event, now);
+    timers_.run(now);
     server_.reap();
     ready_server_.reap();
-    graves_.clear();
-    ended_trips_.clear();
+    closed_connections_.clear();
+    ended_contexts_.clear();
     if (!should_leave_)
       continue;
     check_leaving(now);
-    if (is_leaving_ && (now - left_ > startup_.grace - before_end ||
+    if (is_leaving_ && (now - left_ > settings_.grace - before_end ||
                         (now - left_ > still_chosen && server_.count() == 0)))
       return;
   }
 }
 
-void Traffic::check_leaving(Moment now) {
+void BrokerLoop::check_leaving(TimePoint now) {
   if (!is_leaving_) {
     is_leaving_ = true;
     left_ = now;
     server_.set_leaving();
     LOG(INFO) << "traffic: leaving, " << server_.count() << " connections open";
   }
-  if (now - left_ <= std::min(still_chosen, startup_.grace / 2))
+  if (now - left_ <= std::min(still_chosen, settings_.grace / 2))
     return;
   server_.stop_admitting();
   server_.close_idle();
   server_.reap();
 }
 
-void Traffic::take_view(ViewSnapshot view, Moment now) {
+void BrokerLoop::take_view(ViewSnapshot view, TimePoint now) {
   view_ = std::move(view);
   std::map<std::string, BackendPointer> kept;
-  for (const RosterEntry& entry : view_->backends) {
-    BackendPointer backend = keep_backend(backends_, entry, startup_.localities, now);
+  for (const Endpoint& entry : view_->backends) {
+    BackendPointer backend = keep_backend(backends_, entry, settings_.zones, now);
     if (!backend)
       continue;
     kept[entry.id] = std::move(backend);
@@ -172,8 +173,8 @@
     const auto idle = idle_.find(backend.get());
     if (idle == idle_.end())
       continue;
-    for (Wire* wire : std::vector<Wire*>(idle->second))
-      bury(wire);
+    for (BackendConnection* connection : std::vector<BackendConnection*>(idle->second))
+      defer_delete(connection);
     idle_.erase(backend.get());
   }
   backends_ = std::move(kept);
@@ -194,11 +195,11 @@
     if (const auto found = indices.find(name); found != indices.end())
       table->by_service[found->second] = backends;
   table_ = std::move(table);
-  const std::string address = Address{startup_.ip_address, startup_.own_port}.text();
+  const std::string address = Address{settings_.ip_address, settings_.own_port}.text();
   for (std::size_t index = 0; index < table_->by_service.size(); ++index) {
     const auto& backends = table_->by_service[index];
-    choose_own(backends, {startup_.locality, startup_.region}, address,
-               table_->configuration->services[index].most_connections * 4 / 5,
+    choose_own(backends, {settings_.zone, settings_.region}, address,
+               table_->configuration->services[index].max_connections * 4 / 5,
                static_cast<int>(std::max<std::uint64_t>(1, view_->brokers)));
     for (const BackendPointer& backend : backends)
       keep_warm(backend);
@@ -206,253 +207,255 @@
   mark_edges();
   const Limits& limits = table_->configuration->limits;
   server_.set_limits(
-      {limits.most_header_bytes, limits.most_body_bytes, limits.header_wait, limits.quiet});
+      {limits.max_header_bytes, limits.max_body_bytes, limits.header_wait, limits.quiet});
 }
 
-void Traffic::on_request(Visit& visit, Moment now) {
-  begin(visit, nullptr, now);
+void BrokerLoop::on_request(ServerExchange& exchange, TimePoint now) {
+  begin(exchange, nullptr, now);
 }
 
-void Traffic::begin(Visit& visit, const Trip* before, Moment now) {
+void BrokerLoop::begin(ServerExchange& exchange, const RequestContext* before, TimePoint now) {
   if (!view_->is_ready || !table_) {
-    Reply reply = reply_of(Kind::not_ready);
+    Reply reply = reply_of(ErrorCode::not_ready);
     reply.fields += "Retry-After: 0.3\r\n";
-    return visit.answer(std::move(reply), now);
+    return exchange.answer(std::move(reply), now);
   }
-  const auto& request = visit.request();
-  const Rule* rule = table_->configuration->match(request.get("Host", ""), request.getURI());
-  if (!rule)
-    return visit.answer(reply_of(Kind::no_rule), now);
+  const auto& request = exchange.request();
+  const Route* route = table_->configuration->match(request.get("Host", ""), request.getURI());
+  if (!route)
+    return exchange.answer(reply_of(ErrorCode::no_route), now);
   if (!before)
     metrics().add(Metric::requests);
-  if (rule->rank >= alerts_.refuse_from()) {
+  if (route->rank >= alerts_.refuse_from()) {
     metrics().add(Metric::refusals);
-    Reply reply = reply_of(Kind::overloaded);
+    Reply reply = reply_of(ErrorCode::overloaded);
     reply.fields += "Retry-After: 1\r\n";
-    return visit.answer(std::move(reply), now);
+    return exchange.answer(std::move(reply), now);
   }
-  auto trip = std::make_shared<Trip>(*this, visit.id());
-  trip->try_id = request.get(field::try_id, "");
-  if (trip->try_id.empty())
-    return visit.answer(reply_of(Kind::malformed, "a request needs its Try-Id"), now);
+  auto context = std::make_shared<RequestContext>(*this, exchange.id());
+  context->try_id = request.get(field::try_id, "");
+  if (context->try_id.empty())
+    return exchange.answer(reply_of(ErrorCode::malformed, "a request needs its Try-Id"), now);
   std::optional<ServiceIndex> placed;
   if (before)
-    trip->rounds = before->rounds + 1, trip->connections = before->connections;
-  if (is_of_ring(*rule) && !place(visit, *rule, *trip, placed, now))
+    context->rounds = before->rounds + 1, context->connections = before->connections;
+  if (is_of_ring(*route) && !position(exchange, *route, *context, placed, now))
     return;
-  trip->method = request.getMethod();
-  trip->head_start = start_head(request, visit.body().size());
-  trip->body = std::move(visit.body());
-  const Span time_left = parse_time_left(request.get(field::time_left, ""), rule->give_up);
-  auto errand = std::make_unique<Errand>(*this, table_, *rule, visit.began(), time_left);
+  context->method = request.getMethod();
+  context->head_start = start_head(request, exchange.body().size());
+  context->body = std::move(exchange.body());
+  const Duration time_left = parse_time_left(request.get(field::time_left, ""), route->give_up);
+  auto proxied_request =
+      std::make_unique<ProxiedRequest>(*this, table_, *route, exchange.began(), time_left);
   if (placed)
-    errand->choose(*placed);
-  trip->errand = errand.get();
-  trip->asker = std::move(errand);
-  trips_[trip->errand] = trip;
-  by_visit_[visit.id()] = trip->errand;
+    proxied_request->choose(*placed);
+  context->proxied_request = proxied_request.get();
+  context->requester = std::move(proxied_request);
+  contexts_[context->proxied_request] = context;
+  by_exchange_[exchange.id()] = context->proxied_request;
   if (before)
-    trip->errand->start_again(*before->errand, now);
+    context->proxied_request->start_again(*before->proxied_request, now);
   else
-    trip->errand->start(now);
-  arrange(*trip);
+    context->proxied_request->start(now);
+  arrange(*context);
 }
 
-void Traffic::arrange(Trip& trip) {
-  if (trip.asker->is_open())
-    return schedule_.set(trip, trip.asker->next_due());
-  schedule_.drop(trip);
-  end_trip(trip.asker.get());
+void BrokerLoop::arrange(RequestContext& context) {
+  if (context.requester->is_open())
+    return timers_.set(context, context.requester->next_due());
+  timers_.drop(context);
+  end_context(context.requester.get());
 }
 
-void Traffic::on_gone(Visit& visit) {
-  parked_.erase(visit.id());
-  const auto found = by_visit_.find(visit.id());
-  if (found == by_visit_.end())
+void BrokerLoop::on_gone(ServerExchange& exchange) {
+  parked_.erase(exchange.id());
+  const auto found = by_exchange_.find(exchange.id());
+  if (found == by_exchange_.end())
     return;
-  Errand* errand = found->second;
-  by_visit_.erase(found);
-  errand->abandon();
-  end_trip(errand);
+  ProxiedRequest* proxied_request = found->second;
+  by_exchange_.erase(found);
+  proxied_request->abandon();
+  end_context(proxied_request);
 }
 
 // Wires may still hold the trip; it is freed between rounds at the earliest.
-void Traffic::end_trip(const Asker* asker) {
-  const auto found = trips_.find(asker);
-  if (found == trips_.end())
+void BrokerLoop::end_context(const Requester* requester) {
+  const auto found = contexts_.find(requester);
+  if (found == contexts_.end())
     return;
-  schedule_.drop(*found->second);
-  if (found->second->place)
+  timers_.drop(*found->second);
+  if (found->second->position)
     leave_place(*found->second, Clock::now());
-  ended_trips_.push_back(std::move(found->second));
-  trips_.erase(found);
-  if (const auto token = aid_tokens_.find(asker); token != aid_tokens_.end()) {
-    if (const auto call = aid_calls_.find(token->second); call != aid_calls_.end()) {
-      --aides_[call->second.to].under_way;
-      aid_calls_.erase(call);
+  ended_contexts_.push_back(std::move(found->second));
+  contexts_.erase(found);
+  if (const auto token = delegation_tokens_.find(requester); token != delegation_tokens_.end()) {
+    if (const auto call = delegations_.find(token->second); call != delegations_.end()) {
+      --delegates_[call->second.to].under_way;
+      delegations_.erase(call);
     }
-    aid_tokens_.erase(token);
+    delegation_tokens_.erase(token);
   }
 }
 
-std::string Traffic::head_for(const Trip& trip, const Backend& backend, Moment now) const {
-  const auto left = std::max<std::int64_t>(1, span_between(now, trip.asker->deadline()).count());
-  std::string head = trip.head_start + field::time_left + ": " + std::to_string(left) + "\r\n" +
+std::string BrokerLoop::head_for(const RequestContext& context, const Backend& backend,
+                                 TimePoint now) const {
+  const auto left = std::max<std::int64_t>(1, elapsed(now, context.requester->deadline()).count());
+  std::string head = context.head_start + field::time_left + ": " + std::to_string(left) + "\r\n" +
                      field::meant_server + ": " + backend.id + "\r\n";
-  if (trip.ring)
-    head += ring_fields(*trip.ring, backend.service);
+  if (context.ring)
+    head += ring_fields(*context.ring, backend.service);
   return head + "\r\n";
 }
 
-bool Traffic::ask(Asker& asker, std::size_t part, Backend& backend, Moment now) {
-  const auto trip = trips_.find(&asker);
+bool BrokerLoop::ask(Requester& requester, std::size_t part, Backend& backend, TimePoint now) {
+  const auto context = contexts_.find(&requester);
   const auto pointer = backends_.find(backend.id);
-  if (trip == trips_.end() || pointer == backends_.end() || pointer->second.get() != &backend)
+  if (context == contexts_.end() || pointer == backends_.end() || pointer->second.get() != &backend)
     return false;
-  metrics().add(Metric::askings);
+  metrics().add(Metric::attempts);
   auto& idle = idle_[&backend];
   for (std::size_t at = idle.size(); at-- > 0;) {
-    Wire* wire = idle[at];
-    if (std::ranges::count(trip->second->connections, wire->serial()))
+    BackendConnection* connection = idle[at];
+    if (std::ranges::count(context->second->connections, connection->serial()))
       continue;
     idle.erase(idle.begin() + static_cast<std::ptrdiff_t>(at));
-    if (wire->ask(trip->second, part, now))
+    if (connection->ask(context->second, part, now))
       return true;
-    bury(wire);
+    defer_delete(connection);
   }
-  auto fresh = std::make_unique<Wire>(*this, pointer->second);
-  Wire* wire = fresh.get();
-  wires_[wire] = std::move(fresh);
-  if (wire->ask(trip->second, part, now))
+  auto fresh = std::make_unique<BackendConnection>(*this, pointer->second);
+  BackendConnection* connection = fresh.get();
+  connections_[connection] = std::move(fresh);
+  if (connection->ask(context->second, part, now))
     return true;
   backend.breaker.fail(now, true);
-  bury(wire);
+  defer_delete(connection);
   return false;
 }
 
-void Traffic::answer(Errand& errand, FinalAnswer answer, Moment now) {
-  const auto found = trips_.find(&errand);
-  if (found == trips_.end())
+void BrokerLoop::answer(ProxiedRequest& proxied_request, FinalAnswer answer, TimePoint now) {
+  const auto found = contexts_.find(&proxied_request);
+  if (found == contexts_.end())
     return;
-  const TripPointer trip = found->second;
-  end_trip(&errand);
-  by_visit_.erase(trip->visit);
-  Visit* visit = server_.find(trip->visit);
-  if (!visit)
+  const RequestContextPointer context = found->second;
+  end_context(&proxied_request);
+  by_exchange_.erase(context->exchange);
+  ServerExchange* exchange = server_.find(context->exchange);
+  if (!exchange)
     return;
   Reply reply;
-  if (answer.kind != Kind::none) {
+  if (answer.kind != ErrorCode::none) {
     reply = reply_of(answer.kind);
     if (reply.status >= 500)
       metrics().add(Metric::answers_own_5xx);
     if (reply.status == 503)
       metrics().add(Metric::refusals);
-    if (answer.retry_after > Span(0))
+    if (answer.retry_after > Duration(0))
       reply.fields +=
           "Retry-After: " + std::to_string(static_cast<double>(answer.retry_after.count()) / 1000) +
           "\r\n";
   } else {
     reply = {answer.status, std::move(answer.reason), std::move(answer.fields),
              std::move(answer.body)};
-    reply.is_bodiless = trip->method == "HEAD" && !errand.is_gathering();
-    if (errand.is_gathering())
-      reply.fields += std::string(field::try_id) + ": " + trip->try_id + "\r\n";
+    reply.is_bodiless = context->method == "HEAD" && !proxied_request.is_gathering();
+    if (proxied_request.is_gathering())
+      reply.fields += std::string(field::try_id) + ": " + context->try_id + "\r\n";
   }
-  visit->answer(std::move(reply), now);
+  exchange->answer(std::move(reply), now);
 }
 
-Budget& Traffic::budget(const std::string& service) {
-  return budgets_.try_emplace(service, startup_.retry_span, startup_.retry_share).first->second;
+RetryBudget& BrokerLoop::budget(const std::string& service) {
+  return budgets_.try_emplace(service, settings_.retry_span, settings_.retry_share).first->second;
 }
 
-PickResult Traffic::pick(const std::vector<BackendPointer>& backends,
-                         const std::vector<const Backend*>& tried, int most_connections, Moment now,
-                         const PickWish& wish) {
+PickResult BrokerLoop::pick(const std::vector<BackendPointer>& backends,
+                            const std::vector<const Backend*>& tried, int max_connections,
+                            TimePoint now, const PickConstraints& wish) {
   const auto brokers = static_cast<int>(std::max<std::uint64_t>(1, view_->brokers));
-  return picker_.pick(backends, tried, std::max(1, most_connections * 4 / 5 / brokers), now, wish);
+  return picker_.pick(backends, tried, std::max(1, max_connections * 4 / 5 / brokers), now, wish);
 }
 
 // One connection to each backend in use stays open, and one to each far away: an asking there must
 // not wait for a handshake. To near ones a handshake is short, so connections to them follow the
 // requests, not brokers times backends.
-void Traffic::keep_warm(const BackendPointer& backend) {
+void BrokerLoop::keep_warm(const BackendPointer& backend) {
   const auto usual = by_name_.find(backend->service);
-  const Moment now = Clock::now();
+  const TimePoint now = Clock::now();
   if (backend->is_cancelled || backend->connections > 0 || !backend->is_own ||
       now < backend->warm_after || usual == by_name_.end() || is_leaving_ || !table_)
     return;
-  if (backend->region == startup_.region && now - backend->last_asked > in_use_span)
+  if (backend->region == settings_.region && now - backend->last_asked > in_use_span)
     return;
   const auto& services = table_->configuration->services;
   if (std::none_of(services.begin(), services.end(),
                    [&](const Service& service) { return service.name == backend->service; }))
     return;
-  auto fresh = std::make_unique<Wire>(*this, backend);
-  Wire* wire = fresh.get();
-  wires_[wire] = std::move(fresh);
+  auto fresh = std::make_unique<BackendConnection>(*this, backend);
+  BackendConnection* connection = fresh.get();
+  connections_[connection] = std::move(fresh);
   backend->warm_after = now + warm_pause;  // one that ends at once is not opened again and again
-  if (wire->is_ended())
-    return bury(wire);
+  if (connection->is_ended())
+    return defer_delete(connection);
   const auto learnt = idle_spans_.find(backend->service);
-  wire->rest(now, learnt == idle_spans_.end() ? warm_span : learnt->second);
+  connection->rest(now, learnt == idle_spans_.end() ? warm_span : learnt->second);
 }
 
-void Traffic::bury(Wire* wire) {
-  const auto found = wires_.find(wire);
-  if (found == wires_.end())
+void BrokerLoop::defer_delete(BackendConnection* connection) {
+  const auto found = connections_.find(connection);
+  if (found == connections_.end())
     return;
-  if (const auto idle = idle_.find(&wire->backend()); idle != idle_.end())
-    std::erase(idle->second, wire);
-  schedule_.drop(*wire);
-  wire->end();
-  graves_.push_back(std::move(found->second));
-  wires_.erase(found);
+  if (const auto idle = idle_.find(&connection->backend()); idle != idle_.end())
+    std::erase(idle->second, connection);
+  timers_.drop(*connection);
+  connection->end();
+  closed_connections_.push_back(std::move(found->second));
+  connections_.erase(found);
 }
 
-void Traffic::read_alerts(const std::string& path) {
-  std::vector<AlertRule> rules;
+void BrokerLoop::read_alerts(const std::string& path) {
+  std::vector<AlertRule> routes;
   if (!path.empty()) {
     std::ifstream file(path);
     std::ostringstream text;
     text << file.rdbuf();
-    const Fault found =
-        file ? read_alert_rules(text.str(), rules) : fault(Kind::unreadable, "alert rules");
+    const Error found = file ? read_alert_rules(text.str(), routes)
+                             : make_error(ErrorCode::unreadable, "alert rules");
     if (found) {
       LOG(ERROR) << "alerts: " << path << " refused, the rules before it stay: " << found.text();
       return;
     }
-    LOG(INFO) << "alerts: " << rules.size() << " rules from " << path;
+    LOG(INFO) << "alerts: " << routes.size() << " rules from " << path;
   }
-  alert_rules_.replace(std::move(rules));
+  alert_rules_.replace(std::move(routes));
 }
 
-void Traffic::show_gauges() const {
+void BrokerLoop::show_gauges() const {
   metrics().set(Metric::visits, static_cast<std::int64_t>(server_.count()));
-  metrics().set(Metric::errands, static_cast<std::int64_t>(trips_.size()));
+  metrics().set(Metric::proxied_requests, static_cast<std::int64_t>(contexts_.size()));
   metrics().set(Metric::ready, is_ready());
 }
 
-void Traffic::AlertClock::on_due(Moment now) {
+void BrokerLoop::AlertClock::on_due(TimePoint now) {
   traffic.show_gauges();
   for (const std::string& turned : traffic.alerts_.evaluate(
            [](Metric metric) { return static_cast<double>(metrics().get(metric)); }, now))
     LOG(WARNING) << "alerts: " << turned;
   if (!traffic.alerts_.is_empty())
-    traffic.schedule_.set(*this, now + 1s);
+    traffic.timers_.set(*this, now + 1s);
 }
 
-void Traffic::Readiness::on_request(Visit& visit, Moment now) {
-  const std::string& target = visit.request().getURI();
+void BrokerLoop::Readiness::on_request(ServerExchange& exchange, TimePoint now) {
+  const std::string& target = exchange.request().getURI();
   if (target == row_of(Call::metrics).path) {
     traffic_.show_gauges();
-    return visit.answer(
+    return exchange.answer(
         {200, "OK", "Content-Type: text/plain; version=0.0.4\r\n", metrics().page()}, now);
   }
   if (target.substr(0, target.find('?')) != row_of(Call::readiness).path)
-    return visit.answer(reply_of(Kind::no_rule), now);
+    return exchange.answer(reply_of(ErrorCode::no_route), now);
   if (traffic_.is_ready())
-    return visit.answer({200, "OK", "", "ready\n"}, now);
-  visit.answer(reply_of(traffic_.is_leaving_ ? Kind::draining : Kind::not_ready), now);
+    return exchange.answer({200, "OK", "", "ready\n"}, now);
+  exchange.answer(reply_of(traffic_.is_leaving_ ? ErrorCode::draining : ErrorCode::not_ready), now);
 }
 
 }  // namespace saddlewing
--- a/src/programs/turns.cpp
+++ b/src/programs/turns.cpp
@@ -6,64 +6,68 @@
 namespace saddlewing {
 namespace {
 
-constexpr Span turn_step{5};
+constexpr Duration turn_step{5};
 
 }  // namespace
 
-PickWish Traffic::wish(const Errand& errand, const std::string& service, Moment now) {
-  PickWish wish;
-  wish.may_try = errand.rule().is_harmless && now - errand.began() < errand.rule().target / 4;
+PickConstraints BrokerLoop::wish(const ProxiedRequest& proxied_request, const std::string& service,
+                                 TimePoint now) {
+  PickConstraints wish;
+  wish.may_try = proxied_request.route().is_harmless &&
+                 now - proxied_request.began() < proxied_request.route().target / 4;
   if (!classes_.is_on())
     return wish;
-  wish.is_heavy = classes_.is_heavy(service, errand.rule().name, now);
-  if (const auto trip = trips_.find(&errand); trip != trips_.end())
-    trip->second->is_heavy = wish.is_heavy;
+  wish.is_heavy = classes_.is_heavy(service, proxied_request.route().name, now);
+  if (const auto context = contexts_.find(&proxied_request); context != contexts_.end())
+    context->second->is_heavy = wish.is_heavy;
   if (!wish.is_heavy)
     return wish;
   wish.short_work = classes_.short_work(service, now);
-  wish.waited = span_between(errand.began(), now);
+  wish.waited = elapsed(proxied_request.began(), now);
   return wish;
 }
 
-void Traffic::note_work(const Trip& trip, const Backend& backend, Span took, std::size_t bytes,
-                        Moment now) {
-  if (classes_.is_on() && trip.errand)
-    classes_.see(backend.service, trip.errand->rule().name, static_cast<double>(took.count()),
-                 static_cast<double>(bytes), now);
+void BrokerLoop::record_work(const RequestContext& context, const Backend& backend, Duration took,
+                             std::size_t bytes, TimePoint now) {
+  if (classes_.is_on() && context.proxied_request)
+    classes_.see(backend.service, context.proxied_request->route().name,
+                 static_cast<double>(took.count()), static_cast<double>(bytes), now);
 }
 
 // False: bulkheads are off, or too many wait; then the errand looks again by itself.
-bool Traffic::wait_turn(Errand& errand, Moment now) {
+bool BrokerLoop::wait_turn(ProxiedRequest& proxied_request, TimePoint now) {
   if (!classes_.is_on())
     return false;
-  const auto trip = trips_.find(&errand);
-  if (trip == trips_.end() ||
-      !turns_.push(&errand, errand.rule().rank, trip->second->is_heavy, errand.deadline()))
+  const auto context = contexts_.find(&proxied_request);
+  if (context == contexts_.end() ||
+      !turns_.push(&proxied_request, proxied_request.route().rank, context->second->is_heavy,
+                   proxied_request.deadline()))
     return false;
-  const Asker* displaced = nullptr;
+  const Requester* displaced = nullptr;
   while (turns_.pop_last(displaced))
-    if (const auto other = trips_.find(displaced); other != trips_.end() && other->second->errand) {
-      other->second->errand->lose_turn(now + turn_step);
+    if (const auto other = contexts_.find(displaced);
+        other != contexts_.end() && other->second->proxied_request) {
+      other->second->proxied_request->lose_turn(now + turn_step);
       arrange(*other->second);
     }
-  schedule_.set(turn_clock_, now + turn_step);
+  timers_.set(turn_clock_, now + turn_step);
   return true;
 }
 
-void Traffic::serve_turns(std::size_t most, Moment now) {
-  std::vector<const Asker*> turns;
-  for (const Asker* next = nullptr; turns.size() < most && turns_.pop(next);)
+void BrokerLoop::serve_turns(std::size_t limit, TimePoint now) {
+  std::vector<const Requester*> turns;
+  for (const Requester* next = nullptr; turns.size() < limit && turns_.pop(next);)
     turns.push_back(next);
-  for (const Asker* turn : turns) {
-    const auto found = trips_.find(turn);
-    if (found == trips_.end() || !found->second->errand)
+  for (const Requester* turn : turns) {
+    const auto found = contexts_.find(turn);
+    if (found == contexts_.end() || !found->second->proxied_request)
       continue;  // it ended meanwhile
-    const TripPointer trip = found->second;
-    trip->errand->on_turn(now);
-    arrange(*trip);
+    const RequestContextPointer context = found->second;
+    context->proxied_request->on_turn(now);
+    arrange(*context);
   }
   if (!turns_.is_empty())
-    schedule_.set(turn_clock_, now + turn_step);
+    timers_.set(turn_clock_, now + turn_step);
 }
 
 }  // namespace saddlewing
--- a/src/programs/vault.h
+++ b/src/programs/vault.h
@@ -12,15 +12,15 @@
 
 namespace saddlewing {
 
-class Vault {
+class StorageThread {
  public:
-  Vault(Store& store, Ring<CoreEvent>& events)
+  StorageThread(DurableStore& store, BoundedQueue<ControlEvent>& events)
       : store_(store), events_(events), saves_(4, [this] { waker_.wake(); }) {
   }
   void start() {
     thread_ = std::thread([this] { run(); });
   }
-  bool save(Agreement::Save save) {
+  bool save(RaftNode::Save save) {
     return saves_.push(std::move(save));
   }
   // A stuck disk must not keep the process: its thread is left behind.
@@ -37,8 +37,8 @@
       pollfd waiting{waker_.descriptor(), POLLIN, 0};
       ::poll(&waiting, 1, -1);
       waker_.clear();
-      for (const Agreement::Save& save : saves_.take()) {
-        const Fault found = store_.save(save.durable);
+      for (const RaftNode::Save& save : saves_.take()) {
+        const Error found = store_.save(save.persistent);
         if (found)
           metrics().add(Metric::saves_failed);
         if (found)
@@ -49,10 +49,10 @@
       }
     }
   }
-  Store& store_;
-  Ring<CoreEvent>& events_;
+  DurableStore& store_;
+  BoundedQueue<ControlEvent>& events_;
   Waker waker_;
-  Ring<Agreement::Save> saves_;
+  BoundedQueue<RaftNode::Save> saves_;
   std::atomic<bool> should_stop_ = false;
   std::thread thread_;
 };
--- a/src/protocol/calls.h
+++ b/src/protocol/calls.h
@@ -11,9 +11,9 @@
   list_backends,
   probe_backend,
   metrics,
-  beat,
+  heartbeat,
   leave,
-  raise,
+  promote,
   move_step
 };
 
@@ -27,8 +27,8 @@
     {Call::put_settings, "PUT", "/settings"}, {Call::get_settings, "GET", "/settings"},
     {Call::readiness, "GET", "/readiness"},   {Call::list_backends, "GET", "/backends"},
     {Call::probe_backend, "GET", ""},         {Call::metrics, "GET", "/metrics"},
-    {Call::beat, "PUT", "/backends/"},  // and the backend's id
-    {Call::leave, "DELETE", "/backends/"},    {Call::raise, "POST", "/raise"},
+    {Call::heartbeat, "PUT", "/backends/"},  // and the backend's id
+    {Call::leave, "DELETE", "/backends/"},    {Call::promote, "POST", "/raise"},
     {Call::move_step, "POST", "/ring/moves"},  // of this project, to nodes of the ring
 };
 
@@ -51,7 +51,7 @@
 inline constexpr const char* part_seals = "Part-Seals";
 inline constexpr const char* duty_owner = "Duty-Owner";
 inline constexpr const char* owner_number = "Owner-Number";
-inline constexpr const char* ring_mark =
+inline constexpr const char* ring_revision =
     "Ring-Mark";  // to nodes of the ring: the sheet that the request goes by
 inline constexpr const char* ring_show =
     "Ring-Show";  // of the unit on the move there: it is part of this answer,
--- a/src/protocol/core_status.h
+++ b/src/protocol/core_status.h
@@ -9,7 +9,7 @@
 
 namespace saddlewing {
 
-struct CoreStatus {
+struct ClusterStatus {
   enum class Role : std::uint64_t {
     follower,
     pre_candidate,
@@ -20,9 +20,10 @@
   struct Peer {
     MemberId id;
     std::string address;
-    bool is_voter = false, is_known = false;  // known: `heard`, `is_matched` and `behind` are told
-    bool is_matched = false;                  // holds the leader's last entry on disk
-    std::uint64_t heard = 0;
+    bool is_voter = false,
+         is_known = false;    // known: `last_contact`, `is_matched` and `behind` are told
+    bool is_matched = false;  // holds the leader's last entry on disk
+    std::uint64_t last_contact = 0;
     std::uint64_t behind =
         0;  // entries, by the last it answered with; 0 unless it has answered in this term
   };
@@ -34,9 +35,9 @@
   bool is_voter = false;    // by its own newest entry
   bool is_removed = false;  // a live core told it that it is no member any more
   Term term;
-  std::string leader;              // its address; empty: none known
-  std::uint64_t leader_heard = 0;  // of a follower that knows a leader
-  bool has_committed = false;      // knows in this life of something committed
+  std::string leader;                     // its address; empty: none known
+  std::uint64_t leader_last_contact = 0;  // of a follower that knows a leader
+  bool has_committed = false;             // knows in this life of something committed
   Term committed_term;
   Index committed, last,
       leader_last;  // last: of its newest entry; leader_last: as the leader told it last
@@ -51,11 +52,11 @@
   std::uint64_t saving = 0;    // since the save under way began
   std::vector<Peer> peers;     // voters and learners, itself as well
 };
-const char* name_of(CoreStatus::Role role);
+const char* name_of(ClusterStatus::Role role);
 
 std::string encode_core_status_request(const FrameHead& head);
-std::string encode(const FrameHead& head, const CoreStatus& value);
+std::string encode(const FrameHead& head, const ClusterStatus& value);
 // False: cut short, too long, or a role that there is not.
-bool decode(ByteReader& reader, CoreStatus& value);
+bool decode(ByteReader& reader, ClusterStatus& value);
 
 }  // namespace saddlewing
--- a/src/protocol/frames.cpp
+++ b/src/protocol/frames.cpp
@@ -36,7 +36,7 @@
   Writer writer;
   writer.number(protocol_number)
       .number(static_cast<std::uint64_t>(kind))
-      .number(head.life.value)
+      .number(head.incarnation.value)
       .text(head.from);
   return writer;
 }
@@ -57,7 +57,7 @@
   return "UNKNOWN";
 }
 
-std::string encode(const FrameHead& head, const Forward& value) {
+std::string encode(const FrameHead& head, const ForwardedCall& value) {
   return open_frame(head, FrameKind::forward)
       .number(value.token)
       .number(value.is_read)
@@ -67,19 +67,19 @@
       .take();
 }
 
-bool decode(ByteReader& reader, Forward& value) {
+bool decode(ByteReader& reader, ForwardedCall& value) {
   value.token = reader.number();
   value.is_read = reader.number();
   value.version = read_version(reader);
   value.body = reader.text();
   value.term.value = reader.number();
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
-std::string encode(const FrameHead& head, const Forwarded& value) {
+std::string encode(const FrameHead& head, const ForwardedReply& value) {
   return open_frame(head, FrameKind::forwarded)
       .number(value.token)
-      .number(value.asker.value)
+      .number(value.requester.value)
       .number(value.is_read)
       .number(value.version.value)
       .number(value.digest)
@@ -89,36 +89,36 @@
       .take();
 }
 
-bool decode(ByteReader& reader, Forwarded& value) {
+bool decode(ByteReader& reader, ForwardedReply& value) {
   value.token = reader.number();
-  value.asker.value = reader.number();
+  value.requester.value = reader.number();
   value.is_read = reader.number();
   value.version = read_version(reader);
   value.digest = reader.number();
   value.term.value = reader.number();
   value.is_done = reader.number();
   value.body = reader.text();
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
-std::string encode(const FrameHead& head, const Follow& value) {
+std::string encode(const FrameHead& head, const SubscribeRequest& value) {
   Writer writer = open_frame(head, FrameKind::follow);
   writer.number(value.version.value)
-      .number(value.roster_life)
-      .number(value.roster_mark)
+      .number(value.endpoints_incarnation)
+      .number(value.endpoints_revision)
       .number(value.wants_body)
-      .number(value.wants_roster);
+      .number(value.wants_endpoints);
   writer.text(value.region)
       .number(value.is_ready)
-      .number(value.seats_mark)
+      .number(value.brokers_revision)
       .number(value.token)
-      .number(value.leads_mark)
-      .text(value.locality)
+      .number(value.leadership_revision)
+      .text(value.zone)
       .text(value.failing)
       .text(value.fine)
       .text(value.samples);
   writer.number(value.samples_age)
-      .number(value.ring_mark)
+      .number(value.ring_revision)
       .number(value.ring_held)
       .text(value.ring_loads)
       .text(value.account_loads)
@@ -126,29 +126,29 @@
       .number(value.late_lookups);
   writer.text(value.edge_counts)
       .number(value.edges_held)
-      .number(value.echo_life.value)
+      .number(value.echo_incarnation.value)
       .number(value.echo)
       .number(value.gap);
   return writer.take();
 }
 
-bool decode(ByteReader& reader, Follow& value) {
+bool decode(ByteReader& reader, SubscribeRequest& value) {
   value.version = read_version(reader);
-  value.roster_life = reader.number();
-  value.roster_mark = reader.number();
+  value.endpoints_incarnation = reader.number();
+  value.endpoints_revision = reader.number();
   value.wants_body = reader.number();
-  value.wants_roster = reader.number();
+  value.wants_endpoints = reader.number();
   value.region = reader.text();
   value.is_ready = reader.number();
-  value.seats_mark = reader.number();
+  value.brokers_revision = reader.number();
   value.token = reader.number();
-  value.leads_mark = reader.number();
-  value.locality = reader.text();
+  value.leadership_revision = reader.number();
+  value.zone = reader.text();
   value.failing = reader.text();
   value.fine = reader.text();
   value.samples = reader.text();
   value.samples_age = reader.number();
-  value.ring_mark = reader.number();
+  value.ring_revision = reader.number();
   value.ring_held = reader.number();
   value.ring_loads = reader.text();
   value.account_loads = reader.text();
@@ -156,126 +156,126 @@
   value.late_lookups = reader.number();
   value.edge_counts = reader.text();
   value.edges_held = reader.number();
-  value.echo_life.value = reader.number();
+  value.echo_incarnation.value = reader.number();
   value.echo = reader.number();
   value.gap = reader.number();
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
-std::string encode(const FrameHead& head, const Beat& value) {
-  Writer writer = open_frame(head, FrameKind::beat);
+std::string encode(const FrameHead& head, const ControlHeartbeat& value) {
+  Writer writer = open_frame(head, FrameKind::heartbeat);
   writer.number(value.term.value)
-      .number(value.asker.value)
+      .number(value.requester.value)
       .number(value.token)
       .number(value.version.value)
       .number(value.in_force.value)
       .number(value.is_confirmed)
       .number(value.is_filled)
       .number(value.is_leader);
-  writer.text(value.locality)
+  writer.text(value.zone)
       .text(value.region)
       .number(value.brokers)
       .number(value.grant)
       .number(value.grant_valid);
   write_texts(writer, value.registries);
-  writer.number(value.seats_mark).number(value.seats.size());
-  for (const BrokerSeat& seat : value.seats)
+  writer.number(value.brokers_revision).number(value.seats.size());
+  for (const BrokerEndpoint& seat : value.seats)
     writer.text(seat.address).text(seat.region);
-  writer.number(value.hold)
-      .number(value.leads_mark)
-      .text(value.leads)
+  writer.number(value.lease)
+      .number(value.leadership_revision)
+      .text(value.leaderships)
       .text(value.samples)
       .number(value.serial)
-      .number(value.ring_mark)
+      .number(value.ring_revision)
       .text(value.ring);
   writer.number(value.edges_in_force).text(value.edges);
   return writer.take();
 }
 
-bool decode(ByteReader& reader, Beat& value) {
-  value.term.value = reader.number(), value.asker.value = reader.number(),
+bool decode(ByteReader& reader, ControlHeartbeat& value) {
+  value.term.value = reader.number(), value.requester.value = reader.number(),
   value.token = reader.number();
   value.version = read_version(reader);
   value.in_force = read_version(reader);
   value.is_confirmed = reader.number();
   value.is_filled = reader.number();
   value.is_leader = reader.number();
-  value.locality = reader.text();
+  value.zone = reader.text();
   value.region = reader.text();
   value.brokers = reader.number();
   value.grant = reader.number();
   value.grant_valid = reader.number();
   read_texts(reader, value.registries);
-  value.seats_mark = reader.number();
+  value.brokers_revision = reader.number();
   value.seats.resize(reader.count(16));
-  for (BrokerSeat& seat : value.seats) {
+  for (BrokerEndpoint& seat : value.seats) {
     seat.address = reader.text();
     seat.region = reader.text();
   }
-  value.hold = reader.number();
-  value.leads_mark = reader.number();
-  value.leads = reader.text();
+  value.lease = reader.number();
+  value.leadership_revision = reader.number();
+  value.leaderships = reader.text();
   value.samples = reader.text();
   value.serial = reader.number();
-  value.ring_mark = reader.number();
+  value.ring_revision = reader.number();
   value.ring = reader.text();
   value.edges_in_force = reader.number();
   value.edges = reader.text();
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
-std::string encode(const FrameHead& head, const Body& value) {
+std::string encode(const FrameHead& head, const ConfigurationPayload& value) {
   return open_frame(head, FrameKind::body).number(value.version.value).text(value.body).take();
 }
 
-bool decode(ByteReader& reader, Body& value) {
+bool decode(ByteReader& reader, ConfigurationPayload& value) {
   value.version = read_version(reader);
   value.body = reader.text();
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
-std::string encode(const FrameHead& head, const Roster& value) {
-  Writer writer = open_frame(head, FrameKind::roster);
-  writer.number(value.is_whole)
+std::string encode(const FrameHead& head, const EndpointList& value) {
+  Writer writer = open_frame(head, FrameKind::endpoints);
+  writer.number(value.is_complete)
       .number(value.is_observed)
       .number(value.is_filled)
       .number(value.wants_whole)
-      .text(value.locality)
+      .text(value.zone)
       .number(value.base)
-      .number(value.mark);
+      .number(value.revision);
   writer.number(value.entries.size());
-  for (const RosterEntry& entry : value.entries) {
+  for (const Endpoint& entry : value.entries) {
     writer.text(entry.id)
         .text(entry.service)
         .text(entry.address)
-        .text(entry.locality)
+        .text(entry.zone)
         .text(entry.software);
     writer.number(entry.capacity)
         .number(static_cast<std::uint64_t>(entry.phase))
         .number(static_cast<std::uint64_t>(entry.status));
     writer.number(entry.stamp)
         .number(entry.warm_left)
-        .number(entry.hold_left)
+        .number(entry.lease_left)
         .number(entry.is_leader)
         .number(entry.call_count);
   }
   return writer.take();
 }
 
-bool decode(ByteReader& reader, Roster& value) {
-  value.is_whole = reader.number();
+bool decode(ByteReader& reader, EndpointList& value) {
+  value.is_complete = reader.number();
   value.is_observed = reader.number();
   value.is_filled = reader.number();
   value.wants_whole = reader.number();
-  value.locality = reader.text();
+  value.zone = reader.text();
   value.base = reader.number();
-  value.mark = reader.number();
+  value.revision = reader.number();
   value.entries.resize(reader.count(104));
-  for (RosterEntry& entry : value.entries) {
+  for (Endpoint& entry : value.entries) {
     entry.id = reader.text();
     entry.service = reader.text();
     entry.address = reader.text();
-    entry.locality = reader.text();
+    entry.zone = reader.text();
     entry.software = reader.text();
     entry.capacity = reader.number();
     if (!read_enum(reader, entry.phase, Phase::gone) ||
@@ -283,11 +283,11 @@
       return false;
     entry.stamp = reader.number();
     entry.warm_left = reader.number();
-    entry.hold_left = reader.number();
+    entry.lease_left = reader.number();
     entry.is_leader = reader.number();
     entry.call_count = reader.number();
   }
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
 std::string encode_trace(const FrameHead& head) {
@@ -321,10 +321,10 @@
   }
   read_texts(reader, value.registries);
   read_texts(reader, value.brokers);
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
-std::string encode(const FrameHead& head, const Aid& value) {
+std::string encode(const FrameHead& head, const GatherRequest& value) {
   Writer writer = open_frame(head, FrameKind::aid);
   writer.number(value.token)
       .text(value.method)
@@ -336,7 +336,7 @@
   return writer.take();
 }
 
-bool decode(ByteReader& reader, Aid& value) {
+bool decode(ByteReader& reader, GatherRequest& value) {
   value.token = reader.number();
   value.method = reader.text();
   value.try_id = reader.text();
@@ -346,37 +346,37 @@
   value.best_count = reader.number();
   value.time_left = reader.number();
   value.flush_after = reader.number();
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
-std::string encode(const FrameHead& head, const Aided& value) {
+std::string encode(const FrameHead& head, const GatherResult& value) {
   Writer writer = open_frame(head, FrameKind::aided);
   writer.number(value.token).number(value.done.size());
-  for (const Aided::Done& done : value.done)
+  for (const GatherResult::Done& done : value.done)
     writer.number(done.part).text(done.seal);
   writer.number(value.failed.size());
-  for (const Aided::Failed& failed : value.failed)
+  for (const GatherResult::Failed& failed : value.failed)
     writer.number(failed.part).number(failed.kind).number(failed.may_have_run);
   writer.number(value.held).text(value.records);
   return writer.take();
 }
 
-bool decode(ByteReader& reader, Aided& value) {
+bool decode(ByteReader& reader, GatherResult& value) {
   value.token = reader.number();
   value.done.resize(reader.count(16));
-  for (Aided::Done& done : value.done) {
+  for (GatherResult::Done& done : value.done) {
     done.part = reader.number();
     done.seal = reader.text();
   }
   value.failed.resize(reader.count(24));
-  for (Aided::Failed& failed : value.failed) {
+  for (GatherResult::Failed& failed : value.failed) {
     failed.part = reader.number();
     failed.kind = reader.number();
     failed.may_have_run = reader.number();
   }
   value.held = reader.number();
   value.records = reader.text();
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
 std::string encode(const FrameHead& head, const RenewedIds& value) {
@@ -395,7 +395,7 @@
     item.age = reader.number();
     item.is_leader = reader.number();
   }
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
 std::string encode(const FrameHead& head, const RingCall& value) {
@@ -404,7 +404,7 @@
 
 bool decode(ByteReader& reader, RingCall& value) {
   value.verb = reader.text(), value.text = reader.text();
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
 std::string encode(const FrameHead& head, const RingAnswer& value) {
@@ -421,7 +421,7 @@
   value.leader = reader.text();
   value.reason = reader.text();
   value.text = reader.text();
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
 std::string encode(const FrameHead& head, const EdgeSums& value) {
@@ -439,14 +439,14 @@
     region = reader.text();
     counts = reader.text();
   }
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
 std::string encode(const FrameHead& head, const EdgeViewFrame& value) {
   Writer writer = open_frame(head, FrameKind::edge_view);
   writer.number(value.term.value).number(value.in_force).text(value.view).number(value.ways.size());
-  for (const auto& [way, least] : value.ways)
-    writer.text(way.first).text(way.second).number(static_cast<std::uint64_t>(least * 1000));
+  for (const auto& [way, minimum] : value.ways)
+    writer.text(way.first).text(way.second).number(static_cast<std::uint64_t>(minimum * 1000));
   return writer.take();
 }
 
@@ -458,7 +458,7 @@
     std::string region = reader.text(), zone = reader.text();
     value.ways[{std::move(region), std::move(zone)}] = static_cast<double>(reader.number()) / 1000;
   }
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
 bool decode_head(ByteReader& reader, FrameHead& head) {
@@ -466,10 +466,10 @@
     return false;
   const std::uint64_t kind = reader.number();
   if (kind < static_cast<std::uint64_t>(FrameKind::raft) ||
-      kind > static_cast<std::uint64_t>(FrameKind::core_status))
+      kind > static_cast<std::uint64_t>(FrameKind::cluster_status))
     return false;
   head.kind = static_cast<FrameKind>(kind);
-  head.life.value = reader.number();
+  head.incarnation.value = reader.number();
   head.from = reader.text();
   return reader.is_good();
 }
