--- a/src/protocol/frames.h
+++ b/src/protocol/frames.h
@@ -19,9 +19,9 @@
   forward,    // an operator's call handed to the leader
   forwarded,  // its outcome
   follow,     // a broker says what it holds
-  beat,       // a registry says what it holds
+  heartbeat,  // a registry says what it holds
   body,       // a configuration
-  roster,     // entries of the registry of backends
+  endpoints,  // entries of the registry of backends
   trace,      // the tracer asks
   traced,     // a node's recent steps
   aid,        // a broker has parts gathered by one near the backends
@@ -29,27 +29,28 @@
   renewed,    // backends that told a registry of themselves
   ring_call,  // an operator's call concerning the ring
   ring_answer,
-  edge_sums,            // how fast edges answered, from a registry to the leader
-  edge_view,            // what the leader made of it, to its peers
-  core_status_request,  // an operator asks what a registry knows of its core; see core_status.h
-  core_status,
+  edge_sums,               // how fast edges answered, from a registry to the leader
+  edge_view,               // what the leader made of it, to its peers
+  cluster_status_request,  // an operator asks what a registry knows of its core; see
+                           // cluster_status.h
+  cluster_status,
 };
 
 struct FrameHead {
   FrameKind kind{};
-  LifeId life;
+  IncarnationId incarnation;
   std::string from;  // inner address of the sender; empty for a tool
 };
 
 // A part of an entry on its way: the entry's head, and some of the bytes by which its content
 // differs from an entry that the receiver holds. A large entry travels in many, so that no beat
 // waits behind it.
-struct EntryPiece {
+struct EntryChunk {
   Term term;
   Index index;
   Version version;
   std::uint32_t core_size = 0;
-  std::vector<Member> members, former;
+  std::vector<Member> members, outgoing;
   Term base_term;  // of the entry that it builds on; all 0: on none
   Index base_index;
   struct Kept {
@@ -57,7 +58,7 @@
     std::uint64_t changed = 0;             // bytes between them
     auto operator<=>(const Kept&) const = default;
   };
-  Kept body, sheets;
+  Kept body, documents;
   std::uint64_t digest = 0;             // XXH3 of the whole content
   std::uint64_t total = 0, offset = 0;  // of the bytes on their way
   std::string bytes;
@@ -89,7 +90,7 @@
   bool is_transfer = false;         // the vote follows a hand-over: a live leader is no objection
   bool is_removed = false;          // the receiver is no member any more
   bool is_confirmed = false;        // of append: a majority answered the leader of late
-  std::optional<EntryPiece> piece;  // with append, while the follower lacks the entry
+  std::optional<EntryChunk> piece;  // with append, while the follower lacks the entry
   // With appended: how far the entry on its way came; is_granted says that the entry named above is
   // on disk.
   Index piece_index;
@@ -99,7 +100,7 @@
   std::string leader;           // with joined: its inner address
 };
 
-struct Forward {
+struct ForwardedCall {
   std::uint64_t token = 0;  // counted anew in each life of the sender, which the head names
   bool is_read = false;
   Version version;
@@ -108,9 +109,9 @@
 };
 
 // Names what it answers: whoever asked believes nothing else.
-struct Forwarded {
+struct ForwardedReply {
   std::uint64_t token = 0;
-  LifeId asker;
+  IncarnationId requester;
   bool is_read = false;
   Version version;           // as asked
   std::uint64_t digest = 0;  // of the body sent with the call
@@ -119,66 +120,66 @@
   std::string body;  // what was read, or the acknowledgement
 };
 
-struct Follow {
+struct SubscribeRequest {
   Version version;
-  std::uint64_t roster_life = 0,
-                roster_mark = 0;  // what the broker holds of this registry's roster
+  std::uint64_t endpoints_incarnation = 0,
+                endpoints_revision = 0;  // what the broker holds of this registry's roster
   bool wants_body = false;
-  bool wants_roster = false;  // this registry feeds it: roster and seats come from here
+  bool wants_endpoints = false;  // this registry feeds it: roster and seats come from here
   std::string region;
   bool is_ready = false;
-  std::uint64_t seats_mark = 0;  // of the seats it knows
-  std::uint64_t token = 0;       // names the moment of asking; holds and grants count from there
+  std::uint64_t brokers_revision = 0;  // of the seats it knows
+  std::uint64_t token = 0;  // names the moment of asking; holds and grants count from there
   // Of a pooler:
-  std::uint64_t leads_mark = 0;  // the table of leads it acts by; 0 of a broker
-  std::string locality;          // empty of a broker
+  std::uint64_t leadership_revision = 0;  // the table of leads it acts by; 0 of a broker
+  std::string zone;                       // empty of a broker
   std::string failing,
       fine;  // a bit for each lead of that table: nothing but breakdowns of late; heard of late
   std::string samples;            // places in logs, see coordination/samples.h
   std::uint64_t samples_age = 0;  // milliseconds since they were gathered
   // Of a broker, where a ring is in force:
-  std::uint64_t ring_mark = 0;  // of the sheet it acts by alone
-  std::uint64_t ring_held = 0;  // of the sheet it has
-  std::string ring_loads;       // what it sent to each virtual node since its last follow
-  std::string account_loads;    // the same of its busiest accounts
+  std::uint64_t ring_revision = 0;  // of the sheet it acts by alone
+  std::uint64_t ring_held = 0;      // of the sheet it has
+  std::string ring_loads;           // what it sent to each virtual node since its last follow
+  std::string account_loads;        // the same of its busiest accounts
   std::uint64_t lookups = 0, late_lookups = 0;  // short ones, and how many of them missed their aim
   // Of a broker, where the view of edges is on:
   std::string edge_counts;          // to its feed, since the last
   std::uint64_t edges_held = 0;     // mark of the newest view it has
-  LifeId echo_life;                 // of this registry, as the last beat heard of it named it;
+  IncarnationId echo_incarnation;   // of this registry, as the last beat heard of it named it;
   std::uint64_t echo = 0, gap = 0;  // that beat, and milliseconds since
 };
 
 // A broker as others may ask it for aid.
-struct BrokerSeat {
+struct BrokerEndpoint {
   std::string address, region;  // address: inner
-  auto operator<=>(const BrokerSeat&) const = default;
+  auto operator<=>(const BrokerEndpoint&) const = default;
 };
 
-struct Beat {
+struct ControlHeartbeat {
   Term term;                // in which the sender leads or follows a leader; 0: it knows of none
-  LifeId asker;             // the broker's life that it is for
+  IncarnationId requester;  // the broker's life that it is for
   std::uint64_t token = 0;  // of that broker's last follow
   Version version;
   Version in_force;           // every broker heard of late holds it, or the wait for that is over
   bool is_confirmed = false;  // a quorum stands behind it
   bool is_filled = false;     // its roster was refilled since it started
   bool is_leader = false;     // it leads in that term, under a lease
-  std::string locality, region;         // of the registry
-  std::uint64_t brokers = 0;            // brokers heard of late
-  std::uint64_t grant = 0;              // thousandths of a further try, from the leader alone
+  std::string zone, region;   // of the registry
+  std::uint64_t brokers = 0;  // brokers heard of late
+  std::uint64_t grant = 0;    // thousandths of a further try, from the leader alone
   std::uint64_t grant_valid = 0;        // milliseconds; 0: no word of a grant
   std::vector<std::string> registries;  // inner addresses of the core
-  std::uint64_t seats_mark = 0;         // of the ready brokers
-  std::vector<BrokerSeat> seats;  // they themselves, unless the broker knows this mark already
+  std::uint64_t brokers_revision = 0;   // of the ready brokers
+  std::vector<BrokerEndpoint> seats;  // they themselves, unless the broker knows this mark already
   // To a pooler:
-  std::uint64_t hold = 0;  // milliseconds from that follow's leaving; 0: none granted
-  std::uint64_t leads_mark = 0;
-  std::string leads;         // the table, unless the pooler has this mark
+  std::uint64_t lease = 0;  // milliseconds from that follow's leaving; 0: none granted
+  std::uint64_t leadership_revision = 0;
+  std::string leaderships;   // the table, unless the pooler has this mark
   std::string samples;       // with ages as of this beat's leaving
   std::uint64_t serial = 0;  // of this beat, for the echo
   // To a broker:
-  std::uint64_t ring_mark = 0;       // 0: no ring
+  std::uint64_t ring_revision = 0;   // 0: no ring
   std::string ring;                  // the sheet, unless the broker has it
   std::uint64_t edges_in_force = 0;  // from the leader alone; 0: no word of it
   std::string edges;                 // the newest view, unless the broker has it
@@ -204,10 +205,10 @@
   Term term;  // in which the sender leads
   std::uint64_t in_force = 0;
   std::string view;                                            // empty: there is none yet
-  std::map<std::pair<std::string, std::string>, double> ways;  // see EdgeJudge
+  std::map<std::pair<std::string, std::string>, double> ways;  // see EdgeLatencyAggregator
 };
 
-struct Body {
+struct ConfigurationPayload {
   Version version;
   std::string body;  // packed
 };
@@ -227,15 +228,15 @@
 const char* name_of(Status status);
 
 // An entry as it travels: spans, never instants.
-struct RosterEntry {
-  std::string id, service, address, locality, software;
+struct Endpoint {
+  std::string id, service, address, zone, software;
   std::uint64_t capacity = 1;
   Phase phase{};
   Status status = Status::starting;
-  std::uint64_t stamp = 0;                     // of status and hold; the greater wins
-  std::uint64_t warm_left = 0, hold_left = 0;  // milliseconds
-  bool is_leader = false;                      // of a database, as it sees itself
-  std::uint64_t call_count = 0;                // of its own calls
+  std::uint64_t stamp = 0;                      // of status and hold; the greater wins
+  std::uint64_t warm_left = 0, lease_left = 0;  // milliseconds
+  bool is_leader = false;                       // of a database, as it sees itself
+  std::uint64_t call_count = 0;                 // of its own calls
 };
 
 // Holds renewed at the sender since its last such frame.
@@ -248,14 +249,14 @@
   std::vector<Item> items;
 };
 
-struct Roster {
-  bool is_whole = false;     // everything, not only what changed since `base`
+struct EndpointList {
+  bool is_complete = false;  // everything, not only what changed since `base`
   bool is_observed = false;  // the sender lists the platform itself at present
   bool is_filled = false;
   bool wants_whole = false;  // the sender missed something of the receiver's
-  std::string locality;      // of the sender
-  std::uint64_t base = 0, mark = 0;
-  std::vector<RosterEntry> entries;
+  std::string zone;          // of the sender
+  std::uint64_t base = 0, revision = 0;
+  std::vector<Endpoint> entries;
 };
 
 // One step in the life of an version at a node.
@@ -273,14 +274,14 @@
   std::vector<std::string> registries, brokers;  // inner addresses it knows
 };
 
-struct Aid {
+struct GatherRequest {
   std::uint64_t token = 0;
   std::string method, try_id, head_start, body;
   std::vector<std::string> services;
   std::uint64_t best_count = 1, time_left = 0, flush_after = 0;  // milliseconds
 };
 
-struct Aided {
+struct GatherResult {
   struct Done {
     std::uint64_t part;
     std::string seal;
@@ -299,15 +300,15 @@
 // A frame's beginning, for encoders of this folder.
 Writer open_frame(const FrameHead& head, FrameKind kind);
 std::string encode(const FrameHead& head, const RaftMessage& value);
-std::string encode(const FrameHead& head, const Forward& value);
-std::string encode(const FrameHead& head, const Forwarded& value);
-std::string encode(const FrameHead& head, const Follow& value);
-std::string encode(const FrameHead& head, const Beat& value);
-std::string encode(const FrameHead& head, const Body& value);
-std::string encode(const FrameHead& head, const Roster& value);
+std::string encode(const FrameHead& head, const ForwardedCall& value);
+std::string encode(const FrameHead& head, const ForwardedReply& value);
+std::string encode(const FrameHead& head, const SubscribeRequest& value);
+std::string encode(const FrameHead& head, const ControlHeartbeat& value);
+std::string encode(const FrameHead& head, const ConfigurationPayload& value);
+std::string encode(const FrameHead& head, const EndpointList& value);
 std::string encode(const FrameHead& head, const Traced& value);
-std::string encode(const FrameHead& head, const Aid& value);
-std::string encode(const FrameHead& head, const Aided& value);
+std::string encode(const FrameHead& head, const GatherRequest& value);
+std::string encode(const FrameHead& head, const GatherResult& value);
 std::string encode(const FrameHead& head, const RenewedIds& value);
 std::string encode(const FrameHead& head, const RingCall& value);
 std::string encode(const FrameHead& head, const RingAnswer& value);
@@ -318,15 +319,15 @@
 // The head alone; false for a foreign or damaged frame.
 bool decode_head(ByteReader& reader, FrameHead& head);
 bool decode(ByteReader& reader, RaftMessage& value);
-bool decode(ByteReader& reader, Forward& value);
-bool decode(ByteReader& reader, Forwarded& value);
-bool decode(ByteReader& reader, Follow& value);
-bool decode(ByteReader& reader, Beat& value);
-bool decode(ByteReader& reader, Body& value);
-bool decode(ByteReader& reader, Roster& value);
+bool decode(ByteReader& reader, ForwardedCall& value);
+bool decode(ByteReader& reader, ForwardedReply& value);
+bool decode(ByteReader& reader, SubscribeRequest& value);
+bool decode(ByteReader& reader, ControlHeartbeat& value);
+bool decode(ByteReader& reader, ConfigurationPayload& value);
+bool decode(ByteReader& reader, EndpointList& value);
 bool decode(ByteReader& reader, Traced& value);
-bool decode(ByteReader& reader, Aid& value);
-bool decode(ByteReader& reader, Aided& value);
+bool decode(ByteReader& reader, GatherRequest& value);
+bool decode(ByteReader& reader, GatherResult& value);
 bool decode(ByteReader& reader, RenewedIds& value);
 bool decode(ByteReader& reader, RingCall& value);
 bool decode(ByteReader& reader, RingAnswer& value);
--- a/src/protocol/raft_frames.cpp
+++ b/src/protocol/raft_frames.cpp
@@ -25,15 +25,15 @@
       .number(value.piece.has_value());
   if (!value.piece)
     return writer.take();
-  const EntryPiece& piece = *value.piece;
+  const EntryChunk& piece = *value.piece;
   writer.number(piece.term.value)
       .number(piece.index.value)
       .number(piece.version.value)
       .number(piece.core_size);
   write_members(writer, piece.members);
-  write_members(writer, piece.former);
+  write_members(writer, piece.outgoing);
   writer.number(piece.base_term.value).number(piece.base_index.value);
-  for (const EntryPiece::Kept& kept : {piece.body, piece.sheets})
+  for (const EntryChunk::Kept& kept : {piece.body, piece.documents})
     writer.number(kept.prefix).number(kept.suffix).number(kept.changed);
   writer.number(piece.digest).number(piece.total).number(piece.offset).text(piece.bytes);
   return writer.take();
@@ -61,23 +61,23 @@
   value.piece_end = reader.number();
   value.wants_whole = reader.number();
   if (!reader.number())
-    return reader.is_whole();
-  EntryPiece& piece = value.piece.emplace();
+    return reader.is_complete();
+  EntryChunk& piece = value.piece.emplace();
   piece.term.value = reader.number();
   piece.index.value = reader.number();
   piece.version.value = static_cast<std::int64_t>(reader.number());
   piece.core_size = static_cast<std::uint32_t>(reader.number());
   read_members(reader, piece.members);
-  read_members(reader, piece.former);
+  read_members(reader, piece.outgoing);
   piece.base_term.value = reader.number();
   piece.base_index.value = reader.number();
-  for (EntryPiece::Kept* kept : {&piece.body, &piece.sheets})
+  for (EntryChunk::Kept* kept : {&piece.body, &piece.documents})
     kept->prefix = reader.number(), kept->suffix = reader.number(), kept->changed = reader.number();
   piece.digest = reader.number();
   piece.total = reader.number();
   piece.offset = reader.number();
   piece.bytes = reader.text();
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
 }  // namespace saddlewing
--- a/src/protocol/session_wire.cpp
+++ b/src/protocol/session_wire.cpp
@@ -22,7 +22,7 @@
     {Verdict::unknown, "UNKNOWN"},
 };
 
-constexpr std::size_t most_fields = 16;
+constexpr std::size_t max_fields = 16;
 
 // Takes the word before the next space off the text.
 std::string take_word(std::string_view& text) {
@@ -39,9 +39,9 @@
 
 }  // namespace
 
-const std::string& WireMessage::field(std::size_t place) const {
+const std::string& WireMessage::field(std::size_t position) const {
   static const std::string none;
-  return place < fields.size() ? fields[place] : none;
+  return position < fields.size() ? fields[position] : none;
 }
 
 std::string_view name_of(Verdict verdict) {
@@ -58,7 +58,7 @@
   return Verdict::unknown;
 }
 
-std::string wire(WireKind kind, std::initializer_list<std::string_view> fields) {
+std::string encode_message(WireKind kind, std::initializer_list<std::string_view> fields) {
   std::size_t size = 0;
   for (const auto field : fields)
     size += field.size() + 1;
@@ -81,9 +81,9 @@
   if (bytes.size() < 5)
     return WireStep::more;
   std::size_t size = 0;
-  for (int place = 1; place < 5; ++place)
-    size = size << 8 | static_cast<unsigned char>(bytes[place]);
-  if (size > longest_message)
+  for (int position = 1; position < 5; ++position)
+    size = size << 8 | static_cast<unsigned char>(bytes[position]);
+  if (size > max_message_bytes)
     return WireStep::too_long;
   if (bytes.size() < size + 5)
     return WireStep::more;
@@ -93,7 +93,7 @@
   message.fields.clear();
   std::string_view rest = std::string_view(bytes).substr(5, size);
   while (!rest.empty()) {
-    if (message.fields.size() >= most_fields)
+    if (message.fields.size() >= max_fields)
       return WireStep::garbled;
     const auto end = rest.find('\0');
     message.fields.emplace_back(rest.substr(0, end));
@@ -141,23 +141,23 @@
   return statement;
 }
 
-bool read_place(std::string_view text, LogPlace& place) {
+bool read_log_position(std::string_view text, LogPosition& position) {
   const auto dot = text.find('.');
-  LogPlace read;
+  LogPosition read;
   if (dot == std::string_view::npos || !read_number(text.substr(0, dot), read.term) ||
       !read_number(text.substr(dot + 1), read.number))
     return false;
-  place = read;
+  position = read;
   return true;
 }
 
 bool read_status(const std::string& row, DatabaseStatus& status) {
   std::string_view rest = row;
-  const std::string role = take_word(rest), term = take_word(rest), place = take_word(rest);
+  const std::string role = take_word(rest), term = take_word(rest), position = take_word(rest);
   if (role != "leader" && role != "copy")
     return false;
   status.is_leader = role == "leader";
-  return read_number(term, status.term) && read_place(place, status.place);
+  return read_number(term, status.term) && read_log_position(position, status.position);
 }
 
 }  // namespace saddlewing
--- a/src/protocol/session_wire.h
+++ b/src/protocol/session_wire.h
@@ -21,7 +21,7 @@
 struct WireMessage {
   WireKind kind{};
   std::vector<std::string> fields;
-  const std::string& field(std::size_t place) const;
+  const std::string& field(std::size_t position) const;
 };
 
 // What is told of a try that did not succeed. Promises come first: nothing of the try is kept.
@@ -49,11 +49,11 @@
          verdict == Verdict::wrong_host || verdict == Verdict::full || verdict == Verdict::no_such;
 }
 
-inline constexpr std::size_t longest_message = 1 << 20;
+inline constexpr std::size_t max_message_bytes = 1 << 20;
 
-std::string wire(WireKind kind, std::initializer_list<std::string_view> fields);
+std::string encode_message(WireKind kind, std::initializer_list<std::string_view> fields);
 inline std::string wire_ask(std::string_view id, std::string_view text) {
-  return wire(WireKind::ask, {id, text});
+  return encode_message(WireKind::ask, {id, text});
 }
 
 // Takes one message off the front of the bytes.
@@ -87,9 +87,9 @@
 Statement read_statement(const std::string& text);
 
 // A place in a database's log. Invariant: greater is later, within one history.
-struct LogPlace {
+struct LogPosition {
   std::uint64_t term = 0, number = 0;
-  auto operator<=>(const LogPlace&) const = default;
+  auto operator<=>(const LogPosition&) const = default;
   bool is_known() const {
     return term > 0;
   }
@@ -97,13 +97,13 @@
     return std::to_string(term) + "." + std::to_string(number);
   }
 };
-bool read_place(std::string_view text, LogPlace& place);
+bool read_log_position(std::string_view text, LogPosition& position);
 
 // A backend's row of STATUS: role, term, place received, term held, lag, busy, connections.
 struct DatabaseStatus {
   bool is_leader = false;
   std::uint64_t term = 0;
-  LogPlace place;
+  LogPosition position;
 };
 bool read_status(const std::string& row, DatabaseStatus& status);
 
--- a/src/protocol/steps.h
+++ b/src/protocol/steps.h
@@ -6,20 +6,20 @@
 
 namespace saddlewing {
 
-class StepLog {
+class VersionTrace {
  public:
-  explicit StepLog(std::size_t most) : most_(most) {
+  explicit VersionTrace(std::size_t limit) : max_(limit) {
   }
-  void note(Version version, const char* what, Moment now) {
+  void note(Version version, const char* what, TimePoint now) {
     steps_.push_back({version, what, now});
-    if (steps_.size() > most_)
+    if (steps_.size() > max_)
       steps_.pop_front();
   }
-  std::vector<Step> tell(Moment now) const {
+  std::vector<Step> tell(TimePoint now) const {
     std::vector<Step> told;
     for (const Stamped& step : steps_)
-      told.push_back({step.version, step.what,
-                      static_cast<std::uint64_t>(span_between(step.when, now).count())});
+      told.push_back(
+          {step.version, step.what, static_cast<std::uint64_t>(elapsed(step.when, now).count())});
     return told;
   }
 
@@ -27,9 +27,9 @@
   struct Stamped {
     Version version;
     const char* what;
-    Moment when;
+    TimePoint when;
   };
-  std::size_t most_;
+  std::size_t max_;
   std::deque<Stamped> steps_;
 };
 
--- a/src/state/bytes.h
+++ b/src/state/bytes.h
@@ -31,8 +31,8 @@
   std::string bytes_;
 };
 
-// Invariant: after the first read beyond the end every read gives 0 or nothing, and is_whole stays
-// false.
+// Invariant: after the first read beyond the end every read gives 0 or nothing, and is_complete
+// stays false.
 class ByteReader {
  public:
   explicit ByteReader(std::string_view bytes) : rest_(bytes) {
@@ -41,8 +41,8 @@
     if (rest_.size() < 8)
       return fail(), 0;
     std::uint64_t value = 0;
-    for (int place = 7; place >= 0; --place)
-      value = value << 8 | static_cast<unsigned char>(rest_[place]);
+    for (int position = 7; position >= 0; --position)
+      value = value << 8 | static_cast<unsigned char>(rest_[position]);
     rest_.remove_prefix(8);
     return value;
   }
@@ -54,17 +54,17 @@
     rest_.remove_prefix(size);
     return value;
   }
-  // A count of items that take at least `least` bytes each: never more than could be there.
-  std::uint64_t count(std::uint64_t least) {
+  // A count of items that take at least `minimum` bytes each: never more than could be there.
+  std::uint64_t count(std::uint64_t minimum) {
     const std::uint64_t value = number();
-    if (value > rest_.size() / least)
+    if (value > rest_.size() / minimum)
       return fail(), 0;
     return value;
   }
   bool is_good() const {
     return is_good_;
   }
-  bool is_whole() const {
+  bool is_complete() const {
     return is_good_ && rest_.empty();
   }
 
@@ -98,13 +98,13 @@
       .text(entry.body);
   writer.number(entry.core_size);
   write_members(writer, entry.members);
-  if (entry.sheets.empty() && entry.former.empty())
+  if (entry.documents.empty() && entry.outgoing.empty())
     return;  // as records of earlier versions end
-  writer.number(entry.sheets.size());
-  for (const auto& [name, text] : entry.sheets)
+  writer.number(entry.documents.size());
+  for (const auto& [name, text] : entry.documents)
     writer.text(name).text(text);
-  if (!entry.former.empty())
-    write_members(writer, entry.former);
+  if (!entry.outgoing.empty())
+    write_members(writer, entry.outgoing);
 }
 
 inline void read_entry(ByteReader& reader, Entry& entry) {
@@ -114,14 +114,14 @@
   entry.body = reader.text();
   entry.core_size = static_cast<std::uint32_t>(reader.number());
   read_members(reader, entry.members);
-  if (reader.is_whole())
+  if (reader.is_complete())
     return;
   for (std::uint64_t left = reader.count(16); left > 0; --left) {
     std::string name = reader.text();
-    entry.sheets[std::move(name)] = reader.text();
+    entry.documents[std::move(name)] = reader.text();
   }
-  if (!reader.is_whole())
-    read_members(reader, entry.former);
+  if (!reader.is_complete())
+    read_members(reader, entry.outgoing);
 }
 
 }  // namespace saddlewing
--- a/src/state/disk.cpp
+++ b/src/state/disk.cpp
@@ -109,12 +109,12 @@
 
 }  // namespace
 
-int Disk::clear(const std::string& path) {
+int FileSystem::clear(const std::string& path) {
   const Descriptor file(::open(path.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0644));
   return file.is_open() && ::ftruncate(file.number(), 0) == 0 ? 0 : errno;
 }
 
-int Disk::write_image(const std::string& path, const std::string& record) {
+int FileSystem::write_image(const std::string& path, const std::string& record) {
   int code = 0;
   const Environment environment = open_environment(path, MDB_NOSYNC, code);
   if (!environment)
@@ -133,7 +133,7 @@
   return code ? code : mdb_txn_commit(transaction.release());
 }
 
-int Disk::read_image(const std::string& path, std::string& record) const {
+int FileSystem::read_image(const std::string& path, std::string& record) const {
   int code = 0;
   const Environment environment = open_environment(path, MDB_RDONLY, code);
   if (!environment)
@@ -153,7 +153,7 @@
   return code;
 }
 
-int Disk::write(const std::string& path, std::uint64_t offset, const std::string& bytes) {
+int FileSystem::write(const std::string& path, std::uint64_t offset, const std::string& bytes) {
   const Descriptor file(::open(path.c_str(), O_WRONLY | O_CLOEXEC));
   if (!file.is_open())
     return errno;
@@ -164,19 +164,19 @@
   return static_cast<std::size_t>(written) == bytes.size() ? 0 : ENOSPC;
 }
 
-int Disk::sync(const std::string& path) {
+int FileSystem::sync(const std::string& path) {
   return sync_at(path, O_RDWR);
 }
 
-int Disk::sync_folder(const std::string& folder) {
+int FileSystem::sync_folder(const std::string& folder) {
   return sync_at(folder, O_RDONLY | O_DIRECTORY);
 }
 
-int Disk::remove(const std::string& path) {
+int FileSystem::remove(const std::string& path) {
   return ::unlink(path.c_str()) == 0 ? 0 : errno;
 }
 
-int Disk::inspect(const std::string& path, std::size_t tail_size, Contents& contents) const {
+int FileSystem::inspect(const std::string& path, std::size_t tail_size, Contents& contents) const {
   contents = {};
   const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
   std::uint64_t size = 0;
@@ -197,7 +197,7 @@
                     [&](std::string_view piece) { contents.tail.append(piece); });
 }
 
-int Disk::read(const std::string& path, std::string& bytes) const {
+int FileSystem::read(const std::string& path, std::string& bytes) const {
   bytes.clear();
   const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
   std::uint64_t size = 0;
--- a/src/state/disk.h
+++ b/src/state/disk.h
@@ -7,9 +7,9 @@
 namespace saddlewing {
 
 // Every call gives 0 or an error code: errno, or LMDB's.
-class Disk {
+class FileSystem {
  public:
-  virtual ~Disk() = default;
+  virtual ~FileSystem() = default;
   // An empty file of that name, whatever stood there.
   virtual int clear(const std::string& path);
   // Fills an empty file with an LMDB image that holds `record`. Nothing is synced.
--- a/src/state/error.h
+++ b/src/state/error.h
@@ -6,7 +6,7 @@
 
 namespace saddlewing {
 
-enum class Kind {
+enum class ErrorCode {
   none = 0,
   // what a client sent
   malformed,
@@ -16,7 +16,7 @@
   body_too_large,
   too_slow,
   wrong_method,
-  no_rule,
+  no_route,
   wrong_content,
   expectation,
   // what this system could not do, with nothing run
@@ -43,11 +43,11 @@
 };
 
 const std::error_category& category();
-inline std::error_code make_error_code(Kind kind) {
+inline std::error_code make_error_code(ErrorCode kind) {
   return {static_cast<int>(kind), category()};
 }
 
-struct Fault {
+struct Error {
   std::error_code code;
   std::string step;  // where it arose; for a file, the field
   std::string peer;  // with whom; empty when there is none
@@ -57,7 +57,7 @@
   std::string text() const;
 };
 
-inline Fault fault(Kind kind, std::string step, std::string peer = {}) {
+inline Error make_error(ErrorCode kind, std::string step, std::string peer = {}) {
   return {make_error_code(kind), std::move(step), std::move(peer)};
 }
 
@@ -67,9 +67,9 @@
   int status;
   const char* reason;
 };
-StatusLine status_of(Kind kind);
+StatusLine status_of(ErrorCode kind);
 
 }  // namespace saddlewing
 
 template <>
-struct std::is_error_code_enum<saddlewing::Kind> : std::true_type {};
+struct std::is_error_code_enum<saddlewing::ErrorCode> : std::true_type {};
--- a/src/state/leads.h
+++ b/src/state/leads.h
@@ -9,7 +9,7 @@
 
 namespace saddlewing {
 
-struct Lead {
+struct DatabaseLeadership {
   // led: poolers under a hold use `id`. closing: nobody may. raising: `target` is to be named to
   // the platform.
   enum class Phase : std::uint64_t {
@@ -20,63 +20,68 @@
   std::string service, id;
   std::string target;
   Phase phase = Phase::led;
-  bool is_planned = false;   // of closing: the leader is well, what is under way may end
-  std::uint64_t number = 0;  // of this service's changes; only rises
-  std::uint64_t mark = 0;    // of the table that brought the last of them
+  bool is_planned = false;     // of closing: the leader is well, what is under way may end
+  std::uint64_t number = 0;    // of this service's changes; only rises
+  std::uint64_t revision = 0;  // of the table that brought the last of them
 };
 
-// Invariant: `mark` rises with every agreed change; leads are ordered by service.
-struct LeadTable {
-  std::uint64_t mark = 0;
-  std::vector<Lead> leads;
+// Invariant: `revision` rises with every agreed change; leads are ordered by service.
+struct LeadershipTable {
+  std::uint64_t revision = 0;
+  std::vector<DatabaseLeadership> leaderships;
 
-  const Lead* find(const std::string& service) const {
-    const auto place = std::lower_bound(
-        leads.begin(), leads.end(), service,
-        [](const Lead& lead, const std::string& name) { return lead.service < name; });
-    return place != leads.end() && place->service == service ? &*place : nullptr;
+  const DatabaseLeadership* find(const std::string& service) const {
+    const auto position =
+        std::lower_bound(leaderships.begin(), leaderships.end(), service,
+                         [](const DatabaseLeadership& lead, const std::string& name) {
+                           return lead.service < name;
+                         });
+    return position != leaderships.end() && position->service == service ? &*position : nullptr;
   }
-  Lead& put(const std::string& service) {
-    const auto place = std::lower_bound(
-        leads.begin(), leads.end(), service,
-        [](const Lead& lead, const std::string& name) { return lead.service < name; });
-    if (place != leads.end() && place->service == service)
-      return *place;
-    return *leads.insert(place, Lead{service, {}, {}, Lead::Phase::led, false, 0, 0});
+  DatabaseLeadership& put(const std::string& service) {
+    const auto position =
+        std::lower_bound(leaderships.begin(), leaderships.end(), service,
+                         [](const DatabaseLeadership& lead, const std::string& name) {
+                           return lead.service < name;
+                         });
+    if (position != leaderships.end() && position->service == service)
+      return *position;
+    return *leaderships.insert(
+        position, DatabaseLeadership{service, {}, {}, DatabaseLeadership::Phase::led, false, 0, 0});
   }
 };
 
-inline constexpr const char* leads_sheet = "leads";
+inline constexpr const char* leadership_document = "leads";
 
-inline std::string encode_leads(const LeadTable& table) {
+inline std::string encode_leaderships(const LeadershipTable& table) {
   Writer writer;
-  writer.number(table.mark).number(table.leads.size());
-  for (const Lead& lead : table.leads) {
+  writer.number(table.revision).number(table.leaderships.size());
+  for (const DatabaseLeadership& lead : table.leaderships) {
     writer.text(lead.service).text(lead.id).text(lead.target);
     writer.number(static_cast<std::uint64_t>(lead.phase) | (lead.is_planned ? 16u : 0u))
         .number(lead.number)
-        .number(lead.mark);
+        .number(lead.revision);
   }
   return writer.take();
 }
 
-inline bool decode_leads(const std::string& bytes, LeadTable& table) {
+inline bool decode_leaderships(const std::string& bytes, LeadershipTable& table) {
   ByteReader reader(bytes);
-  table.mark = reader.number();
-  table.leads.resize(reader.count(48));
-  for (Lead& lead : table.leads) {
+  table.revision = reader.number();
+  table.leaderships.resize(reader.count(48));
+  for (DatabaseLeadership& lead : table.leaderships) {
     lead.service = reader.text();
     lead.id = reader.text();
     lead.target = reader.text();
     const std::uint64_t phase = reader.number();
     if ((phase & 15) > 2)
       return false;
-    lead.phase = static_cast<Lead::Phase>(phase & 15);
+    lead.phase = static_cast<DatabaseLeadership::Phase>(phase & 15);
     lead.is_planned = phase & 16;
     lead.number = reader.number();
-    lead.mark = reader.number();
+    lead.revision = reader.number();
   }
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
 }  // namespace saddlewing
--- a/src/state/metrics.h
+++ b/src/state/metrics.h
@@ -13,19 +13,19 @@
   answers_own_5xx,
   refusals,
   answers_partial,
-  askings,
-  further_askings,
+  attempts,
+  further_attempts,
   breakdowns,
   aids,
   visits,
-  errands,
+  proxied_requests,
   ready,
   // pooler
-  lanes,
-  lanes_opened,
+  connections,
+  connections_opened,
   waiting,
   statements,
-  unknown_outcomes,
+  unknown_responses,
   // registry
   ring_over,
   ring_moves,
@@ -35,12 +35,12 @@
   backends_up,
   evictions,
   saves_failed,
-  leads,
+  leaderships,
   calls_taken,
   calls_failed,
   // both
   version,
-  edges_mark,
+  edges_revision,
   count
 };
 
--- a/src/state/packing.h
+++ b/src/state/packing.h
@@ -17,8 +17,8 @@
   return packed.str();
 }
 
-// False: damaged, or larger than `most`.
-inline bool unpack(const std::string& packed, std::size_t most, std::string& text) {
+// False: damaged, or larger than `limit`.
+inline bool unpack(const std::string& packed, std::size_t limit, std::string& text) {
   std::istringstream source(packed);
   text.clear();
   try {
@@ -26,7 +26,7 @@
     char bytes[16384];
     while (stream.read(bytes, sizeof bytes) || stream.gcount() > 0) {
       text.append(bytes, static_cast<std::size_t>(stream.gcount()));
-      if (text.size() > most)
+      if (text.size() > limit)
         return false;
     }
     return stream.eof() && !stream.bad();
--- a/src/state/ring.cpp
+++ b/src/state/ring.cpp
@@ -12,8 +12,8 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::size_t most_nodes = 1000, most_virtual = 65536, most_sized = 4096;
-constexpr std::uint64_t sheet_form =
+constexpr std::size_t max_nodes = 1000, max_virtual = 65536, max_sized = 4096;
+constexpr std::uint64_t ring_document_format =
     2;  // of a sheet that knows accounts; those before it end with the moves
 
 std::uint64_t digest(std::string_view text, std::uint64_t seed = 0) {
@@ -39,11 +39,11 @@
 // Reads fields of one map; the first fault stays.
 struct YamlFields {
   const YAML::Node& node;
-  std::string place;
+  std::string position;
   std::string& first;
   void fail(const std::string& what) const {
     if (first.empty())
-      first = place + what;
+      first = position + what;
   }
   std::string text(const char* name) const {
     if (node[name] && node[name].IsScalar() && !node[name].Scalar().empty())
@@ -51,7 +51,7 @@
     fail(std::string(name) + " is missing or not a text");
     return {};
   }
-  double number(const char* name, double least, double most, double otherwise,
+  double number(const char* name, double minimum, double limit, double otherwise,
                 bool is_required) const {
     if (!node[name]) {
       if (is_required)
@@ -62,22 +62,22 @@
     if (!node[name].IsScalar() || !YAML::convert<double>::decode(node[name], value) ||
         !std::isfinite(value))
       return fail(std::string(name) + " is not a number"), otherwise;
-    if (value < least || value > most)
+    if (value < minimum || value > limit)
       return fail(std::string(name) + " is out of range"), otherwise;
     return value;
   }
 };
 
-Fault read_root(const YAML::Node& root, RingMap& read) {
+Error read_root(const YAML::Node& root, RingMap& read) {
   std::string first;
   if (!root.IsMap())
-    return fault(Kind::invalid, "the ring file is not a map");
+    return make_error(ErrorCode::invalid, "the ring file is not a map");
   const YamlFields top{root, "", first};
   read.version.value = static_cast<std::int64_t>(top.number("edition", 1, 9e15, 0, true));
-  read.rule = top.text("rule");
+  read.route = top.text("rule");
   read.key_part = static_cast<std::size_t>(top.number("key_part", 0, 32, 0, false));
   const auto count = static_cast<std::size_t>(
-      top.number("virtual_nodes", 1, static_cast<double>(most_virtual), 128, false));
+      top.number("virtual_nodes", 1, static_cast<double>(max_virtual), 128, false));
   read.memory_mb = top.number("virtual_node_memory_mb", 0, 1e9, read.memory_mb, false);
   read.disk_mb = top.number("virtual_node_disk_mb", 0, 1e12, read.disk_mb, false);
   read.account_memory_mb = top.number("account_memory_mb", 0, 1e9, read.account_memory_mb, false);
@@ -85,13 +85,14 @@
   if (!root["nodes"] || !root["nodes"].IsSequence() || root["nodes"].size() == 0)
     top.fail("nodes is not a list");
   if (!first.empty())
-    return fault(Kind::invalid, first);
-  if (root["nodes"].size() > most_nodes)
-    return fault(Kind::invalid, "nodes are too many");
+    return make_error(ErrorCode::invalid, first);
+  if (root["nodes"].size() > max_nodes)
+    return make_error(ErrorCode::invalid, "nodes are too many");
   std::set<std::string> names;
   for (const YAML::Node& value : root["nodes"]) {
     if (!value.IsMap())
-      return fault(Kind::invalid, "nodes[" + std::to_string(read.nodes.size()) + "] is not a map");
+      return make_error(ErrorCode::invalid,
+                        "nodes[" + std::to_string(read.nodes.size()) + "] is not a map");
     const std::string name =
         value["name"] && value["name"].IsScalar() ? value["name"].Scalar() : "";
     const YamlFields fields{
@@ -116,10 +117,10 @@
       top.fail("sizes is not a map");
     else
       for (const auto& item : root["sizes"]) {
-        const std::string place =
+        const std::string position =
             "sizes " + (item.first.IsScalar() ? item.first.Scalar() : std::string("?")) + ": ";
         std::uint32_t virtual_node = 0;
-        const YamlFields fields{item.second, place, first};
+        const YamlFields fields{item.second, position, first};
         if (!YAML::convert<std::uint32_t>::decode(item.first, virtual_node) ||
             virtual_node >= count)
           fields.fail("there is no such virtual node");
@@ -131,7 +132,7 @@
       }
   }
   if (root["accounts"]) {
-    if (!root["accounts"].IsMap() || root["accounts"].size() > most_sized)
+    if (!root["accounts"].IsMap() || root["accounts"].size() > max_sized)
       top.fail("accounts is not a map, or too long");
     else
       for (const auto& item : root["accounts"]) {
@@ -148,7 +149,7 @@
       }
   }
   if (!first.empty())
-    return fault(Kind::invalid, first);
+    return make_error(ErrorCode::invalid, first);
   for (VirtualNode virtual_node = 0; virtual_node < count; ++virtual_node) {
     read.owners.push_back(choose_owner(read.nodes, virtual_node));
     read.points.push_back({digest("virtual node " + std::to_string(virtual_node)), virtual_node});
@@ -160,9 +161,9 @@
 }  // namespace
 
 VirtualNode RingMap::find(std::string_view key) const {
-  const auto place =
+  const auto position =
       std::lower_bound(points.begin(), points.end(), std::pair(digest(key), VirtualNode{0}));
-  return place == points.end() ? points.front().second : place->second;
+  return position == points.end() ? points.front().second : position->second;
 }
 
 bool is_account_form(std::string_view text) {
@@ -230,58 +231,58 @@
   return !key.empty();
 }
 
-Fault read_ring(const std::string& text, RingMap& ring) {
+Error read_ring(const std::string& text, RingMap& ring) {
   try {
     RingMap read;
-    if (Fault found = read_root(YAML::Load(text), read))
+    if (Error found = read_root(YAML::Load(text), read))
       return found;
     ring = std::move(read);
     return {};
   } catch (const std::exception& thrown) {  // the library throws on what is no YAML
-    return fault(Kind::invalid, "the ring file is not proper YAML");
+    return make_error(ErrorCode::invalid, "the ring file is not proper YAML");
   }
 }
 
-std::string encode_ring(const RingSheet& sheet) {
+std::string encode_ring(const RingDocument& document) {
   Writer writer;
-  writer.number(sheet.mark).text(sheet.file).number(sheet.moved.size());
-  for (const auto& [virtual_node, owner] : sheet.moved)
+  writer.number(document.revision).text(document.file).number(document.moved.size());
+  for (const auto& [virtual_node, owner] : document.moved)
     writer.number(virtual_node).text(owner);
-  writer.text(sheet.moves).number(sheet_form).number(sheet.placed.size());
-  for (const auto& [account, owner] : sheet.placed)
+  writer.text(document.moves).number(ring_document_format).number(document.placed.size());
+  for (const auto& [account, owner] : document.placed)
     writer.text(account).text(owner);
   return writer.take();
 }
 
-bool decode_ring(const std::string& bytes, RingSheet& sheet) {
+bool decode_ring(const std::string& bytes, RingDocument& document) {
   ByteReader reader(bytes);
-  sheet = {};
-  sheet.mark = reader.number();
-  sheet.file = reader.text();
+  document = {};
+  document.revision = reader.number();
+  document.file = reader.text();
   for (std::uint64_t left = reader.count(16); left > 0; --left) {
     const auto virtual_node = static_cast<VirtualNode>(reader.number());
-    sheet.moved[virtual_node] = reader.text();
+    document.moved[virtual_node] = reader.text();
   }
-  sheet.moves = reader.text();
-  if (reader.is_whole())
+  document.moves = reader.text();
+  if (reader.is_complete())
     return true;  // written before accounts moved
-  if (reader.number() != sheet_form)
+  if (reader.number() != ring_document_format)
     return false;
   for (std::uint64_t left = reader.count(16); left > 0; --left) {
     std::string account = reader.text();
-    sheet.placed[std::move(account)] = reader.text();
+    document.placed[std::move(account)] = reader.text();
   }
-  return reader.is_whole();
+  return reader.is_complete();
 }
 
-Fault ring_of(const RingSheet& sheet, RingMap& ring) {
-  if (Fault found = read_ring(sheet.file, ring))
+Error ring_of(const RingDocument& document, RingMap& ring) {
+  if (Error found = read_ring(document.file, ring))
     return found;
-  for (const auto& [virtual_node, owner] : sheet.moved)
+  for (const auto& [virtual_node, owner] : document.moved)
     if (const std::size_t index = ring.index_of(owner);
         index < ring.nodes.size() && virtual_node < ring.owners.size())
       ring.owners[virtual_node] = static_cast<std::uint32_t>(index);
-  for (const auto& [account, owner] : sheet.placed)
+  for (const auto& [account, owner] : document.placed)
     if (const std::size_t index = ring.index_of(owner); index < ring.nodes.size())
       ring.placed[account] = static_cast<std::uint32_t>(index);
   return {};
--- a/src/state/ring.h
+++ b/src/state/ring.h
@@ -37,7 +37,7 @@
 // An account is one part of a path: 1 to 128 characters that a path may hold, no slash.
 bool is_account_form(std::string_view text);
 
-inline constexpr std::size_t most_placed =
+inline constexpr std::size_t max_placed =
     4096;  // accounts that live elsewhere than the ring has them
 
 struct RingNode {
@@ -51,7 +51,7 @@
 // Invariant: `owners` has an entry for every virtual node, an index into `nodes`; `points` rise.
 struct RingMap {
   Version version;
-  std::string rule;          // by name
+  std::string route;         // by name
   std::size_t key_part = 0;  // which part of the path behind path_start
   std::vector<RingNode> nodes;
   double memory_mb = 1, disk_mb = 10;                      // of a virtual node
@@ -81,20 +81,20 @@
 };
 
 // Reads the operator's YAML whole. The fault names field and node.
-Fault read_ring(const std::string& text, RingMap& ring);
+Error read_ring(const std::string& text, RingMap& ring);
 
 // What the registries agree on: the file, and who owns otherwise than it says.
-struct RingSheet {
-  std::uint64_t mark = 0;
+struct RingDocument {
+  std::uint64_t revision = 0;
   std::string file;
   std::map<VirtualNode, std::string> moved;
   std::string moves;                          // see coordination/ring_moves.h
   std::map<std::string, std::string> placed;  // accounts by the node that owns them
 };
-inline constexpr const char* ring_sheet = "ring";
-std::string encode_ring(const RingSheet& sheet);
-bool decode_ring(const std::string& bytes, RingSheet& sheet);
+inline constexpr const char* ring_document = "ring";
+std::string encode_ring(const RingDocument& document);
+bool decode_ring(const std::string& bytes, RingDocument& document);
 // The map in force by a sheet; owners that are no nodes any more fall back to what the file says.
-Fault ring_of(const RingSheet& sheet, RingMap& ring);
+Error ring_of(const RingDocument& document, RingMap& ring);
 
 }  // namespace saddlewing
--- a/src/state/startup.cpp
+++ b/src/state/startup.cpp
@@ -39,7 +39,7 @@
         fail(path + " is empty");
     }
   }
-  void number(const std::string& path, double& field, double least, double most,
+  void number(const std::string& path, double& field, double minimum, double limit,
               bool is_required = false) {
     const Json::Value* value = find(path);
     if (!value || value->isNull()) {
@@ -47,16 +47,16 @@
         fail(path + " is missing");
     } else if (!value->isNumeric() || value->isBool() || !std::isfinite(value->asDouble())) {
       fail(path + " is not a number");
-    } else if (value->asDouble() < least || value->asDouble() > most) {
+    } else if (value->asDouble() < minimum || value->asDouble() > limit) {
       fail(path + " is out of range");
     } else {
       field = value->asDouble();
     }
   }
-  void span(const std::string& path, Span& field, double factor = 1, bool is_required = false) {
+  void span(const std::string& path, Duration& field, double factor = 1, bool is_required = false) {
     double count = static_cast<double>(field.count()) / factor;
     number(path, count, 0.001, 86400000, is_required);
-    field = Span(std::max<std::int64_t>(1, std::llround(count * factor)));
+    field = Duration(std::max<std::int64_t>(1, std::llround(count * factor)));
   }
   void truth(const std::string& path, bool& field) {
     const Json::Value* value = find(path);
@@ -134,18 +134,18 @@
   }
 }
 
-Fault check_startup(const std::string& text, bool is_registry, Startup& startup) {
+Error parse_node_settings(const std::string& text, bool is_registry, NodeSettings& settings) {
   Json::Value root;
   std::string reason;
   if (!read_json(text, root, reason))
-    return fault(Kind::unreadable, "startup is not JSON");
+    return make_error(ErrorCode::unreadable, "startup is not JSON");
   if (!root.isObject())
-    return fault(Kind::invalid, "startup is not an object");
-  Startup read;
+    return make_error(ErrorCode::invalid, "startup is not an object");
+  NodeSettings read;
   Reader reader(root);
   reader.text("node_name", read.node_name, true);
   reader.text("ip_address", read.ip_address, true);
-  reader.text("zone", read.locality, true);
+  reader.text("zone", read.zone, true);
   reader.text("region", read.region, false);
   reader.text("data_folder", read.data_folder, is_registry);
   reader.truth("first_run", read.is_first_run);
@@ -169,7 +169,7 @@
   if (const Json::Value* zones = reader.find("zones"); zones && zones->isObject())
     for (const auto& name : zones->getMemberNames())
       if ((*zones)[name].isString())
-        read.localities[name] = (*zones)[name].asString();
+        read.zones[name] = (*zones)[name].asString();
   const Json::Value* ports = reader.find("spare_ports");
   if (!ports || !ports->isArray() || ports->size() != 2 || !(*ports)[0].isInt() ||
       !(*ports)[1].isInt()) {
@@ -184,7 +184,7 @@
   std::string finding;
   reader.text("finding", finding, false);
   read.is_signing_up = finding == "sign_up";
-  reader.span("beat_every_ms", read.beat_every);
+  reader.span("beat_every_ms", read.backend_heartbeat_interval);
   double can_lose = 1;
   reader.number("can_lose.machines", can_lose, 0, 1000);
   read.can_lose = static_cast<int>(can_lose);
@@ -204,13 +204,14 @@
   reader.number("time_bounds.extra_tries", tries, 0, 1e9);
   read.extra_tries = static_cast<int>(tries);
   // Where the bounds are tighter than usual, what must happen within them happens more often.
-  read.listing = std::clamp(read.empty_out / 6, Span(10), read.listing);
-  read.follow = std::clamp(std::min(read.empty_out, read.take_effect) / 7, Span(10), read.follow);
-  read.rollout_wait = std::clamp(read.take_effect / 6, Span(10), read.rollout_wait);
-  reader.span("options.beat_ms", read.beat);
+  read.listing = std::clamp(read.empty_out / 6, Duration(10), read.listing);
+  read.follow =
+      std::clamp(std::min(read.empty_out, read.take_effect) / 7, Duration(10), read.follow);
+  read.rollout_wait = std::clamp(read.take_effect / 6, Duration(10), read.rollout_wait);
+  reader.span("options.beat_ms", read.heartbeat);
   reader.span("options.election_ms", read.election);
   reader.span("options.renewal_ms", read.renewal);
-  reader.span("options.hold_ms", read.hold);
+  reader.span("options.hold_ms", read.lease);
   reader.span("options.sweep_ms", read.sweep);
   reader.number("options.renewal_threshold", read.renewal_threshold, 0, 1);
   reader.truth("options.self_preservation", read.is_preserving);
@@ -218,45 +219,45 @@
   reader.span("options.follow_ms", read.follow);
   reader.text("options.alert_rules", read.alert_rules, false);
   reader.span("options.rollout_wait_ms", read.rollout_wait);
-  reader.span("options.lead_hold_ms", read.lead_hold);
+  reader.span("options.lead_hold_ms", read.leadership_lease);
   reader.number("options.heavy_times", read.heavy_times, 0, 1000);
   if (read.heavy_times > 0 && read.heavy_times < 1.5)
     reader.fail("options.heavy_times is between 0 and 1.5");
   reader.truth("options.edges", read.has_edges);
   reader.span("options.edges_half_life_ms", read.edges_half_life);
-  reader.span("options.edges_least_stay_ms", read.edges_least_stay);
+  reader.span("options.edges_least_stay_ms", read.edges_min_stay);
   reader.span("options.edges_fade_ms", read.edges_fade);
   reader.number("options.edges_avoid_times", read.edges_avoid_times, 1.2, 1000);
   reader.number("options.edges_return_times", read.edges_return_times, 1, 1000);
-  reader.number("options.edges_least_samples", read.edges_least_samples, 5, 1e6);
+  reader.number("options.edges_least_samples", read.edges_min_samples, 5, 1e6);
   if (read.edges_return_times >= read.edges_avoid_times)
     reader.fail("options.edges_return_times is not under options.edges_avoid_times");
   if (read.edges_fade < read.follow * 4)
     reader.fail("options.edges_fade_ms is under four times options.follow_ms");
   reader.span("options.unconfirmed_wait_ms", read.unconfirmed_wait);
-  if (read.election < read.beat * 3)
+  if (read.election < read.heartbeat * 3)
     reader.fail("options.election_ms is under three times options.beat_ms");
   if (read.rollout_wait * 3 > read.take_effect)
     reader.fail("options.rollout_wait_ms is over a third of time_bounds.take_effect_ms");
   if (read.listing * 3 + read.follow > read.empty_out)
     reader.fail("options.listing_ms is too long for time_bounds.empty_out_ms");
-  if (read.lead_hold < read.follow * 3)
+  if (read.leadership_lease < read.follow * 3)
     reader.fail("options.lead_hold_ms is under three times options.follow_ms");
-  if (read.hold < read.renewal * 2)
+  if (read.lease < read.renewal * 2)
     reader.fail("options.hold_ms is under twice options.renewal_ms");
   if (!reader.first().empty())
-    return fault(Kind::invalid, reader.first());
-  startup = std::move(read);
+    return make_error(ErrorCode::invalid, reader.first());
+  settings = std::move(read);
   return {};
 }
 
-Fault read_startup(const std::string& path, bool is_registry, Startup& startup) {
+Error read_node_settings(const std::string& path, bool is_registry, NodeSettings& settings) {
   std::ifstream file(path);
   if (!file)
-    return fault(Kind::unreadable, "startup file", path);
+    return make_error(ErrorCode::unreadable, "startup file", path);
   std::ostringstream text;
   text << file.rdbuf();
-  Fault found = check_startup(text.str(), is_registry, startup);
+  Error found = parse_node_settings(text.str(), is_registry, settings);
   if (found)
     found.peer = path;
   return found;
--- a/src/state/store.cpp
+++ b/src/state/store.cpp
@@ -15,43 +15,43 @@
 namespace {
 
 constexpr std::uint64_t record_format = 2, first_format = 1;
-constexpr std::uint64_t seal_mark = 0x314c414553575753;  // "SWWSEAL1"
-constexpr std::size_t seal_size = 6 * 8;
+constexpr std::uint64_t checksum_magic = 0x314c414553575753;  // "SWWSEAL1"
+constexpr std::size_t checksum_size = 6 * 8;
 
 // Closes a slot. Invariant of every later format: mark and checksum stay where they are, so that it
 // can be named.
-struct Seal {
+struct RecordChecksum {
   std::uint64_t format = 0, serial = 0, image_size = 0, image_digest = 0;
 };
 
-std::string write_seal(const Seal& seal) {
+std::string write_checksum(const RecordChecksum& seal) {
   Writer writer;
   writer.number(seal.format)
       .number(seal.serial)
       .number(seal.image_size)
       .number(seal.image_digest)
-      .number(seal_mark);
+      .number(checksum_magic);
   writer.number(XXH3_64bits(writer.bytes().data(), writer.bytes().size()));
   return writer.take();
 }
 
 bool has_mark(const std::string& bytes) {
-  return bytes.size() == seal_size &&
-         ByteReader(std::string_view(bytes).substr(seal_size - 16)).number() == seal_mark;
+  return bytes.size() == checksum_size &&
+         ByteReader(std::string_view(bytes).substr(checksum_size - 16)).number() == checksum_magic;
 }
 
-bool read_seal(const std::string& bytes, Seal& seal) {
+bool read_checksum(const std::string& bytes, RecordChecksum& seal) {
   ByteReader reader(bytes);
   seal.format = reader.number();
   seal.serial = reader.number();
   seal.image_size = reader.number();
   seal.image_digest = reader.number();
   reader.number();
-  return reader.number() == XXH3_64bits(bytes.data(), seal_size - 8) && reader.is_whole();
+  return reader.number() == XXH3_64bits(bytes.data(), checksum_size - 8) && reader.is_complete();
 }
 
-Fault disk_fault(const char* step, int code) {
-  return code ? fault(Kind::disk, step, mdb_strerror(code)) : Fault{};
+Error disk_fault(const char* step, int code) {
+  return code ? make_error(ErrorCode::disk, step, mdb_strerror(code)) : Error{};
 }
 
 std::uint64_t checksum(std::uint64_t format, std::string_view bytes) {
@@ -63,16 +63,16 @@
 }
 
 // Later saves of one member never go back in this.
-auto age_of(const Durable& durable) {
-  return std::tuple(durable.term, durable.entry->term, durable.entry->index,
-                    durable.vote.value != 0);
+auto age_of(const PersistentState& persistent) {
+  return std::tuple(persistent.term, persistent.entry->term, persistent.entry->index,
+                    persistent.vote.value != 0);
 }
 
 // A file of before the slots has no seal, so LMDB does not open it: its one record is found by its
 // key and believed by its own checksum. LMDB puts a node's size, flags and size of key before the
 // key; a record that does not fit into a page stands at the start of another, behind that page's
 // head.
-Decoded find_unsealed(const std::string& bytes, Durable& durable) {
+Decoded find_unsealed(const std::string& bytes, PersistentState& persistent) {
   constexpr std::size_t head_size = 16, big = 1;
   const std::size_t page = static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
   const std::string_view all(bytes), key(record_key, sizeof record_key);
@@ -94,7 +94,7 @@
     }
     if (begin > bytes.size())
       continue;
-    const Decoded decoded = decode_durable(all.substr(begin, size), durable);
+    const Decoded decoded = decode_persistent_state(all.substr(begin, size), persistent);
     if (decoded == Decoded::record)
       return decoded;
     if (decoded == Decoded::unknown_format)
@@ -105,75 +105,76 @@
 
 }  // namespace
 
-std::string encode_durable(const Durable& durable) {
+std::string encode_persistent_state(const PersistentState& persistent) {
   Writer writer;
   writer.number(record_format)
-      .number(durable.self.value)
-      .number(durable.term.value)
-      .number(durable.vote.value);
-  write_entry(writer, *durable.entry);
+      .number(persistent.self.value)
+      .number(persistent.term.value)
+      .number(persistent.vote.value);
+  write_entry(writer, *persistent.entry);
   writer.number(checksum(record_format, writer.bytes()));
   return writer.take();
 }
 
-Decoded decode_durable(std::string_view bytes, Durable& durable) {
+Decoded decode_persistent_state(std::string_view bytes, PersistentState& persistent) {
   if (bytes.size() < 16)
     return Decoded::damaged;
   const std::string_view body = bytes.substr(0, bytes.size() - 8);
   const std::uint64_t sum = ByteReader(bytes.substr(body.size())).number(),
                       format = ByteReader(body).number();
   if (format > record_format) {
-    const bool is_whole =
+    const bool is_complete =
         sum == checksum(record_format, body) || sum == checksum(first_format, body);
-    return is_whole ? Decoded::unknown_format : Decoded::damaged;
+    return is_complete ? Decoded::unknown_format : Decoded::damaged;
   }
   if (format < first_format || sum != checksum(format, body))
     return Decoded::damaged;
   ByteReader reader(body.substr(8));
-  Durable read;
+  PersistentState read;
   read.self.value = reader.number();
   read.term.value = reader.number();
   read.vote.value = reader.number();
   auto entry = std::make_shared<Entry>();
   read_entry(reader, *entry);
   read.entry = std::move(entry);
-  if (!reader.is_whole())
+  if (!reader.is_complete())
     return Decoded::damaged;
-  durable = std::move(read);
+  persistent = std::move(read);
   return Decoded::record;
 }
 
-Store::Slot Store::examine(int slot) const {
+DurableStore::Slot DurableStore::examine(int slot) const {
   using State = Slot::State;
   const std::string path = path_of(slot);
-  Disk::Contents contents;
-  if (const int code = disk_->inspect(path, seal_size, contents))
-    return code == ENOENT ? Slot{}
-                          : Slot{State::unreadable, 0,
-                                 fault(Kind::disk, "read of " + path, mdb_strerror(code))};
+  FileSystem::Contents contents;
+  if (const int code = file_system_->inspect(path, checksum_size, contents))
+    return code == ENOENT
+               ? Slot{}
+               : Slot{State::unreadable, 0,
+                      make_error(ErrorCode::disk, "read of " + path, mdb_strerror(code))};
   if (!has_mark(contents.tail))
-    return {State::begun, 0, fault(Kind::damaged, "no seal", path)};
-  Seal seal;
-  if (!read_seal(contents.tail, seal))
-    return {State::damaged, 0, fault(Kind::damaged, "seal", path)};
+    return {State::begun, 0, make_error(ErrorCode::damaged, "no seal", path)};
+  RecordChecksum seal;
+  if (!read_checksum(contents.tail, seal))
+    return {State::damaged, 0, make_error(ErrorCode::damaged, "seal", path)};
   if (seal.format > record_format)
     return {State::unknown_format, seal.serial,
-            fault(Kind::invalid, "format " + std::to_string(seal.format), path)};
+            make_error(ErrorCode::invalid, "format " + std::to_string(seal.format), path)};
   if (seal.image_size != contents.size || seal.image_digest != contents.digest)
-    return {State::damaged, 0, fault(Kind::damaged, "checksum", path)};
+    return {State::damaged, 0, make_error(ErrorCode::damaged, "checksum", path)};
   return {State::whole, seal.serial, {}};
 }
 
-int Store::newest_of(const Slot (&slots)[2]) {
-  const auto is_whole = [&](int slot) {
+int DurableStore::newest_of(const Slot (&slots)[2]) {
+  const auto is_complete = [&](int slot) {
     return slots[slot].state == Slot::State::whole;
   };
-  if (is_whole(0) && is_whole(1))
+  if (is_complete(0) && is_complete(1))
     return slots[1].serial > slots[0].serial;
-  return is_whole(0) ? 0 : is_whole(1) ? 1 : -1;
+  return is_complete(0) ? 0 : is_complete(1) ? 1 : -1;
 }
 
-Store::Found Store::load(Durable& durable, Fault& why) const {
+DurableStore::Found DurableStore::load(PersistentState& persistent, Error& why) const {
   using State = Slot::State;
   const Slot slots[] = {examine(0), examine(1)};
   for (const auto& [state, found] : {std::pair(State::unknown_format, Found::unknown_format),
@@ -184,20 +185,20 @@
   const int newest = newest_of(slots);
   if (newest >= 0) {
     std::string record;
-    if (const int code = disk_->read_image(path_of(newest), record))
+    if (const int code = file_system_->read_image(path_of(newest), record))
       return why = disk_fault("read of the store", code), Found::unreadable;
-    const Decoded decoded = decode_durable(record, durable);
+    const Decoded decoded = decode_persistent_state(record, persistent);
     if (decoded == Decoded::record)
       return Found::record;
-    why = fault(decoded == Decoded::damaged ? Kind::damaged : Kind::invalid, "record",
-                path_of(newest));
+    why = make_error(decoded == Decoded::damaged ? ErrorCode::damaged : ErrorCode::invalid,
+                     "record", path_of(newest));
     return decoded == Decoded::damaged ? Found::damaged : Found::unknown_format;
   }
   // Slot 1 is begun only after slot 0 was synced, and that was newer than any file of before the
   // slots.
   if (slots[1].state != State::absent)
     return why = slots[1].why, Found::damaged;
-  const Found found = load_unsealed(durable, why);
+  const Found found = load_unsealed(persistent, why);
   // A first save that never came to its seal acknowledged nothing.
   if (found == Found::nothing && slots[0].state == State::damaged)
     return why = slots[0].why, Found::damaged;
@@ -206,29 +207,30 @@
 
 // Of before the slots: fresh.mdb was written, synced and renamed over state.mdb. After a loss of
 // power in between either name may be there, and a removed fresh.mdb may be back.
-Store::Found Store::load_unsealed(Durable& durable, Fault& why) const {
+DurableStore::Found DurableStore::load_unsealed(PersistentState& persistent, Error& why) const {
   Found found = Found::nothing;
   for (const char* name : {"/state.mdb", "/fresh.mdb"}) {
     const std::string path = folder_ + name;
     std::string bytes;
-    const int code = disk_->read(path, bytes);
+    const int code = file_system_->read(path, bytes);
     if (code == ENOENT)
       continue;
     if (code)
-      return why = fault(Kind::disk, "read of " + path, mdb_strerror(code)), Found::unreadable;
-    Durable read;
+      return why = make_error(ErrorCode::disk, "read of " + path, mdb_strerror(code)),
+             Found::unreadable;
+    PersistentState read;
     const Decoded decoded = find_unsealed(bytes, read);
     if (decoded == Decoded::unknown_format)
-      return why = fault(Kind::invalid, "format", path), Found::unknown_format;
+      return why = make_error(ErrorCode::invalid, "format", path), Found::unknown_format;
     if (decoded == Decoded::damaged) {
       // A torn fresh.mdb was never acknowledged; state.mdb was synced whole before it got its name.
       if (found == Found::nothing)
-        why = fault(Kind::damaged, "checksum", path), found = Found::damaged;
+        why = make_error(ErrorCode::damaged, "checksum", path), found = Found::damaged;
       continue;
     }
-    if (found == Found::damaged || (found == Found::record && age_of(read) <= age_of(durable)))
+    if (found == Found::damaged || (found == Found::record && age_of(read) <= age_of(persistent)))
       continue;
-    durable = std::move(read);
+    persistent = std::move(read);
     found = Found::record;
   }
   return found;
@@ -236,7 +238,7 @@
 
 // Once in a life. What a process before this one wrote may be whole and yet not synced: it is,
 // before the other slot goes.
-Fault Store::prepare() {
+Error DurableStore::prepare() {
   if (is_prepared_)
     return {};
   const Slot slots[] = {examine(0), examine(1)};
@@ -245,14 +247,14 @@
       return slot.why;
   const int newest = newest_of(slots);
   if (newest >= 0) {
-    if (const int code = disk_->sync(path_of(newest)))
+    if (const int code = file_system_->sync(path_of(newest)))
       return disk_fault("sync of the slot before", code);
-    if (const int code = disk_->sync_folder(folder_))
+    if (const int code = file_system_->sync_folder(folder_))
       return disk_fault("sync of the folder", code);
     serial_ = slots[newest].serial;
   } else {
-    Durable held;
-    Fault why;
+    PersistentState held;
+    Error why;
     const Found found = load_unsealed(held, why);
     if (found == Found::unknown_format || found == Found::unreadable)
       return why;
@@ -265,31 +267,31 @@
   return {};
 }
 
-Fault Store::write(int slot, std::uint64_t serial, const std::string& record) {
+Error DurableStore::write(int slot, std::uint64_t serial, const std::string& record) {
   const std::string path = path_of(slot);
-  if (const int code = disk_->clear(path))
+  if (const int code = file_system_->clear(path))
     return disk_fault("open of the store", code);
-  if (const int code = disk_->write_image(path, record))
+  if (const int code = file_system_->write_image(path, record))
     return disk_fault("write to the store", code);
-  Disk::Contents image;
-  if (const int code = disk_->inspect(path, 0, image))
+  FileSystem::Contents image;
+  if (const int code = file_system_->inspect(path, 0, image))
     return disk_fault("checksum of the store", code);
-  const std::string seal = write_seal({record_format, serial, image.size, image.digest});
-  if (const int code = disk_->write(path, image.size, seal))
+  const std::string seal = write_checksum({record_format, serial, image.size, image.digest});
+  if (const int code = file_system_->write(path, image.size, seal))
     return disk_fault("seal of the store", code);
-  if (const int code = disk_->sync(path))
+  if (const int code = file_system_->sync(path))
     return disk_fault("sync of the store", code);
   if (is_folder_synced_)
     return {};
-  return disk_fault("sync of the folder", disk_->sync_folder(folder_));
+  return disk_fault("sync of the folder", file_system_->sync_folder(folder_));
 }
 
-Fault Store::save(const Durable& durable) {
-  if (Fault found = prepare())
+Error DurableStore::save(const PersistentState& persistent) {
+  if (Error found = prepare())
     return found;
   const int slot = newest_ == 0 ? 1 : 0;
-  if (Fault found = write(slot, ++serial_, encode_durable(durable))) {
-    disk_->clear(
+  if (Error found = write(slot, ++serial_, encode_persistent_state(persistent))) {
+    file_system_->clear(
         path_of(slot));  // after a sync that failed, what reads as whole may never reach the disk
     return found;
   }
@@ -297,7 +299,7 @@
   newest_ = slot;
   if (has_unsealed_)
     for (const char* name : {"/state.mdb", "/fresh.mdb"})
-      disk_->remove(folder_ + name);
+      file_system_->remove(folder_ + name);
   has_unsealed_ = false;
   return {};
 }
--- a/src/state/store.h
+++ b/src/state/store.h
@@ -29,15 +29,15 @@
   std::vector<Member> members;
   // Of a joint entry: the members before. A majority of each list counts until the entry after it,
   // which has none.
-  std::vector<Member> former;
+  std::vector<Member> outgoing;
   std::uint32_t core_size = 0;  // how many voters the core wants
   std::map<std::string, std::string>
-      sheets;  // further agreed tables by name: leads of databases, the ring
+      documents;  // further agreed tables by name: leads of databases, the ring
 };
 using EntrySnapshot = std::shared_ptr<const Entry>;
 
 // Invariant: `self` never changes once written; `term` never falls; `vote` is of `term`.
-struct Durable {
+struct PersistentState {
   MemberId self;
   Term term;
   MemberId vote;
@@ -50,14 +50,14 @@
   damaged,
   unknown_format
 };
-std::string encode_durable(const Durable& durable);
-Decoded decode_durable(std::string_view bytes, Durable& durable);
+std::string encode_persistent_state(const PersistentState& persistent);
+Decoded decode_persistent_state(std::string_view bytes, PersistentState& persistent);
 
 // Two slots, written in turn and never renamed; each is an LMDB image closed by a seal with a
 // checksum over all of it and a serial that rises. LMDB trusts its pages, so it opens no slot whose
 // seal does not match. Invariant: the slot with the newest synced record is never written; a slot
 // that fails is written again.
-class Store {
+class DurableStore {
  public:
   // `unreadable`: what is there is not known. It and `unknown_format` are neither served nor
   // written over.
@@ -69,12 +69,14 @@
     unreadable
   };
 
-  explicit Store(std::string folder, std::shared_ptr<Disk> disk = std::make_shared<Disk>())
-      : folder_(std::move(folder)), disk_(std::move(disk)) {
+  explicit DurableStore(std::string folder,
+                        std::shared_ptr<FileSystem> disk = std::make_shared<FileSystem>())
+      : folder_(std::move(folder)), file_system_(std::move(disk)) {
   }
-  Found load(Durable& durable, Fault& fault) const;
-  // No fault: `durable` outlasts any loss of power. A fault: the record before does, or this one.
-  Fault save(const Durable& durable);
+  Found load(PersistentState& persistent, Error& make_error) const;
+  // No fault: `persistent` outlasts any loss of power. A fault: the record before does, or this
+  // one.
+  Error save(const PersistentState& persistent);
 
  private:
   // Begun: its save never came to the seal.
@@ -88,7 +90,7 @@
       unreadable
     } state = State::absent;
     std::uint64_t serial = 0;
-    Fault why;
+    Error why;
   };
   std::string path_of(int slot) const {
     return folder_ + (slot ? "/slot-1.mdb" : "/slot-0.mdb");
@@ -96,12 +98,12 @@
   Slot examine(int slot) const;
   // -1: none is whole.
   static int newest_of(const Slot (&slots)[2]);
-  Found load_unsealed(Durable& durable, Fault& why) const;
-  Fault prepare();
-  Fault write(int slot, std::uint64_t serial, const std::string& record);
+  Found load_unsealed(PersistentState& persistent, Error& why) const;
+  Error prepare();
+  Error write(int slot, std::uint64_t serial, const std::string& record);
 
   std::string folder_;
-  std::shared_ptr<Disk> disk_;
+  std::shared_ptr<FileSystem> file_system_;
   // Of the saves of this life. Invariant: `newest_` was synced once `is_prepared_`.
   bool is_prepared_ = false, is_folder_synced_ = false, has_unsealed_ = false;
   int newest_ = -1;
--- a/src/state/types.h
+++ b/src/state/types.h
@@ -16,21 +16,21 @@
   auto operator<=>(const Strong&) const = default;
 };
 
-using Version = Strong<struct VersionTag, std::int64_t>;   // of a configuration; 0: none
-using Term = Strong<struct TermTag, std::uint64_t>;        // of the agreement
-using Index = Strong<struct IndexTag, std::uint64_t>;      // of an entry in the agreement
-using MemberId = Strong<struct MemberTag, std::uint64_t>;  // of a registry; 0: none
-using LifeId = Strong<struct LifeTag, std::uint64_t>;      // of one life of a process
+using Version = Strong<struct VersionTag, std::int64_t>;      // of a configuration; 0: none
+using Term = Strong<struct TermTag, std::uint64_t>;           // of the agreement
+using Index = Strong<struct IndexTag, std::uint64_t>;         // of an entry in the agreement
+using MemberId = Strong<struct MemberTag, std::uint64_t>;     // of a registry; 0: none
+using IncarnationId = Strong<struct LifeTag, std::uint64_t>;  // of one life of a process
 using ServiceIndex = Strong<struct ServiceTag, std::uint32_t>;
 
 // Decisions use the steady clock alone; the time of day may jump.
 using Clock = std::chrono::steady_clock;
-using Moment = Clock::time_point;
-using Span = std::chrono::milliseconds;
+using TimePoint = Clock::time_point;
+using Duration = std::chrono::milliseconds;
 using namespace std::chrono_literals;
 
-inline Span span_between(Moment from, Moment to) {
-  return std::chrono::duration_cast<Span>(to - from);
+inline Duration elapsed(TimePoint from, TimePoint to) {
+  return std::chrono::duration_cast<Duration>(to - from);
 }
 
 }  // namespace saddlewing
--- a/src/transport/caller.cpp
+++ b/src/transport/caller.cpp
@@ -4,41 +4,43 @@
 
 namespace saddlewing {
 
-Caller::Caller(Poller& poller, CallOwner& owner, const Address& address, std::size_t most_head,
-               std::size_t most_body)
-    : poller_(poller), owner_(owner), reader_(false, most_head, most_body) {
-  auto channel = Channel::connect(address);
+HttpClientConnection::HttpClientConnection(Poller& poller, HttpCallObserver& owner,
+                                           const Address& address, std::size_t max_head,
+                                           std::size_t max_body)
+    : poller_(poller), owner_(owner), reader_(false, max_head, max_body) {
+  auto channel = TcpConnection::connect(address);
   if (!channel) {
     state_ = State::ended;
     return;
   }
-  channel_ = std::move(*channel);
-  poller_.watch(channel_.socket(), Poller::read | Poller::write, *this);
+  tcp_ = std::move(*channel);
+  poller_.watch(tcp_.socket(), Poller::read | Poller::write, *this);
 }
 
-void Caller::end() {
+void HttpClientConnection::end() {
   if (state_ == State::ended)
     return;
   state_ = State::ended;
-  poller_.leave(channel_.socket());
-  channel_ = Channel();
+  poller_.leave(tcp_.socket());
+  tcp_ = TcpConnection();
 }
 
-void Caller::abort() {
+void HttpClientConnection::abort() {
   if (state_ != State::ended)
-    channel_.reset_at_close();
+    tcp_.reset_at_close();
   end();
 }
 
-bool Caller::is_quiet() {
+bool HttpClientConnection::is_quiet() {
   if (state_ != State::idle)
     return state_ == State::connecting;
   char byte = 0;
-  const Transfer got = channel_.receive(&byte, 1);
+  const Transfer got = tcp_.receive(&byte, 1);
   return !got.is_closed && !got.count;
 }
 
-bool Caller::ask(const std::string& bytes, bool is_head, const std::string& try_id, Moment latest) {
+bool HttpClientConnection::ask(const std::string& bytes, bool is_head, const std::string& try_id,
+                               TimePoint latest) {
   if (state_ == State::ended)
     return false;
   try_id_ = try_id;
@@ -50,12 +52,12 @@
     reader_.expect_no_body();
   out_ = bytes;
   sent_ = 0;
-  has_sent_ = has_heard_ = false;
+  has_sent_ = has_received_ = false;
   is_asked_ = true;
   if (state_ == State::connecting)
     return true;
-  state_ = State::asking;
-  const Transfer gone = channel_.send(out_.data(), out_.size());
+  state_ = State::attempting;
+  const Transfer gone = tcp_.send(out_.data(), out_.size());
   if (gone.is_closed) {
     end();
     return false;
@@ -63,22 +65,22 @@
   sent_ = gone.count;
   has_sent_ = sent_ > 0;
   if (sent_ < out_.size())
-    poller_.change(channel_.socket(), Poller::read | Poller::write);
+    poller_.change(tcp_.socket(), Poller::read | Poller::write);
   return true;
 }
 
-void Caller::on_ready(bool is_readable, bool is_writable) {
-  const Moment now = Clock::now();
+void HttpClientConnection::on_ready(bool is_readable, bool is_writable) {
+  const TimePoint now = Clock::now();
   if (state_ == State::connecting) {
     if (!is_writable && !is_readable)
       return;
-    if (!channel_.is_connected_well())
-      return fail(Kind::refused_connection, now);
+    if (!tcp_.is_connected_well())
+      return fail(ErrorCode::refused_connection, now);
     was_connected_ = true;
     connected_at_ = now;
-    state_ = is_asked_ ? State::asking : State::idle;
+    state_ = is_asked_ ? State::attempting : State::idle;
     if (is_asked_ && !owner_.may_send(*this, now))
-      return fail(Kind::deadline_reached, now);
+      return fail(ErrorCode::deadline_reached, now);
     return flush(now);
   }
   if (is_writable && state_ != State::ended)
@@ -87,55 +89,55 @@
     read(now);
 }
 
-void Caller::flush(Moment now) {
+void HttpClientConnection::flush(TimePoint now) {
   while (sent_ < out_.size()) {
     if (!has_sent_ && now > latest_)
-      return fail(Kind::deadline_reached, now);
-    const Transfer gone = channel_.send(out_.data() + sent_, out_.size() - sent_);
+      return fail(ErrorCode::deadline_reached, now);
+    const Transfer gone = tcp_.send(out_.data() + sent_, out_.size() - sent_);
     if (gone.is_closed)
-      return fail(Kind::broke_off, now);
+      return fail(ErrorCode::broke_off, now);
     if (!gone.count)
-      return poller_.change(channel_.socket(), Poller::read | Poller::write);
+      return poller_.change(tcp_.socket(), Poller::read | Poller::write);
     sent_ += gone.count;
     has_sent_ = true;
   }
-  poller_.change(channel_.socket(), Poller::read);
+  poller_.change(tcp_.socket(), Poller::read);
 }
 
-void Caller::fail(Kind kind, Moment now) {
+void HttpClientConnection::fail(ErrorCode kind, TimePoint now) {
   const bool is_idle = !is_asked_;
   end();
   if (is_idle)
     owner_.on_idle_end(*this);
   else
-    owner_.on_breakdown(*this, kind, now);
+    owner_.on_failure(*this, kind, now);
 }
 
-bool Caller::is_surplus() const {
+bool HttpClientConnection::is_surplus() const {
   if (try_id_.empty())
     return false;
   const auto& response = reader_.response();
   return response.has(field::try_id) && response.get(field::try_id) != try_id_;
 }
 
-bool Caller::is_of_two() const {
+bool HttpClientConnection::is_of_two() const {
   const auto& response = reader_.response();
   auto found = response.find(field::try_id);
   return found != response.end() && ++found != response.end() &&
          is_same_name(found->first, field::try_id);
 }
 
-void Caller::read(Moment now) {
+void HttpClientConnection::read(TimePoint now) {
   static thread_local char bytes[65536];
   for (;;) {
-    const Transfer got = channel_.receive(bytes, sizeof bytes);
+    const Transfer got = tcp_.receive(bytes, sizeof bytes);
     if (got.is_closed)
-      return fail(Kind::broke_off, now);
+      return fail(ErrorCode::broke_off, now);
     if (!got.count)
       return;
     if (state_ == State::idle)
-      return fail(Kind::garbled, now);
-    has_heard_ = true;
+      return fail(ErrorCode::garbled, now);
+    has_received_ = true;
     in_.append(bytes, got.count);
     MessageReader::Step step;
     while ((step = reader_.advance(in_)) == MessageReader::Step::done && is_surplus() &&
@@ -146,7 +148,7 @@
         reader_.expect_no_body();
     }
     if (step == MessageReader::Step::failed || (step == MessageReader::Step::done && is_of_two()))
-      return fail(Kind::garbled, now);
+      return fail(ErrorCode::garbled, now);
     if (step == MessageReader::Step::done)
       break;
     if (got.count < sizeof bytes)
@@ -157,7 +159,7 @@
     end();
   else
     state_ = State::idle;
-  owner_.on_outcome(*this, now);
+  owner_.on_response(*this, now);
 }
 
 }  // namespace saddlewing
--- a/src/transport/caller.h
+++ b/src/transport/caller.h
@@ -9,33 +9,34 @@
 
 namespace saddlewing {
 
-class Caller;
+class HttpClientConnection;
 
 // Whoever made a call. Exactly one of the two comes for each call begun.
-class CallOwner {
+class HttpCallObserver {
  public:
-  virtual ~CallOwner() = default;
-  virtual void on_outcome(Caller& caller, Moment now) = 0;
-  virtual void on_breakdown(Caller& caller, Kind kind, Moment now) = 0;
-  virtual bool may_send(Caller&, Moment) {
+  virtual ~HttpCallObserver() = default;
+  virtual void on_response(HttpClientConnection& caller, TimePoint now) = 0;
+  virtual void on_failure(HttpClientConnection& caller, ErrorCode kind, TimePoint now) = 0;
+  virtual bool may_send(HttpClientConnection&, TimePoint) {
     return true;
   }  // asked once, when the connection stands; false breaks the call down
-  virtual void on_idle_end(Caller& caller) = 0;  // an idle connection ended or spoke out of turn
+  virtual void on_idle_end(
+      HttpClientConnection& caller) = 0;  // an idle connection ended or spoke out of turn
 };
 
 // Its way: Connecting -> Asking -> Idle -> Asking ... -> Ended.
 // Invariant: bytes beyond the outcome end the connection, so an idle one is clean.
-class Caller final : public Watcher {
+class HttpClientConnection final : public Watcher {
  public:
   enum class State {
     connecting,
-    asking,
+    attempting,
     idle,
     ended
   };
-  Caller(Poller& poller, CallOwner& owner, const Address& address, std::size_t most_head,
-         std::size_t most_body);
-  ~Caller() override {
+  HttpClientConnection(Poller& poller, HttpCallObserver& owner, const Address& address,
+                       std::size_t max_head, std::size_t max_body);
+  ~HttpClientConnection() override {
     end();
   }
 
@@ -43,7 +44,7 @@
   // skipped. After `latest` no first byte leaves any more, whatever the connection or the process
   // was held up by.
   bool ask(const std::string& bytes, bool is_head, const std::string& try_id = {},
-           Moment latest = Moment::max());
+           TimePoint latest = TimePoint::max());
   // Of an idle one: nothing has come that nobody has seen yet, neither its end nor bytes out of
   // turn.
   bool is_quiet();
@@ -56,8 +57,8 @@
   bool has_sent() const {
     return has_sent_;
   }  // any byte of the request left
-  bool has_heard() const {
-    return has_heard_;
+  bool has_received() const {
+    return has_received_;
   }  // any byte of the outcome came
   bool was_connected() const {
     return was_connected_;
@@ -71,9 +72,9 @@
     return is_doubtful_;
   }
   int own_port() const {
-    return channel_.own_port();
+    return tcp_.own_port();
   }
-  Moment connected_at() const {
+  TimePoint connected_at() const {
     return connected_at_;
   }
   void end();
@@ -85,20 +86,20 @@
   bool is_surplus() const;
   bool is_of_two()
       const;  // its id stands there more than once, as where one answer was cut and another follows
-  void read(Moment now);
-  void flush(Moment now);
-  void fail(Kind kind, Moment now);
+  void read(TimePoint now);
+  void flush(TimePoint now);
+  void fail(ErrorCode kind, TimePoint now);
 
   Poller& poller_;
-  CallOwner& owner_;
-  Channel channel_;
+  HttpCallObserver& owner_;
+  TcpConnection tcp_;
   MessageReader reader_;
   State state_ = State::connecting;
   std::string out_, in_, try_id_;
   std::size_t sent_ = 0;
   std::uint64_t asked_count_ = 0;
-  Moment connected_at_{}, latest_ = Moment::max();
-  bool has_sent_ = false, has_heard_ = false, was_connected_ = false, is_asked_ = false,
+  TimePoint connected_at_{}, latest_ = TimePoint::max();
+  bool has_sent_ = false, has_received_ = false, was_connected_ = false, is_asked_ = false,
        is_doubtful_ = false, is_head_ = false;
 };
 
--- a/src/transport/channel.cpp
+++ b/src/transport/channel.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-void Channel::prepare() {
+void TcpConnection::prepare() {
   try {
     socket_.setBlocking(false);
     socket_.setNoDelay(true);
@@ -35,17 +35,17 @@
   }
 }
 
-std::optional<Channel> Channel::connect(const Address& address) {
+std::optional<TcpConnection> TcpConnection::connect(const Address& address) {
   try {
     Poco::Net::StreamSocket socket;
     socket.connectNB(SocketAddress(address.host, static_cast<Poco::UInt16>(address.port)));
-    return Channel(std::move(socket));
+    return TcpConnection(std::move(socket));
   } catch (const Poco::Exception&) {
     return std::nullopt;
   }
 }
 
-Transfer Channel::send(const char* bytes, std::size_t count) {
+Transfer TcpConnection::send(const char* bytes, std::size_t count) {
   try {
     const int sent = socket_.sendBytes(bytes, static_cast<int>(count));
     return {sent > 0 ? static_cast<std::size_t>(sent) : 0, false};
@@ -54,7 +54,7 @@
   }
 }
 
-Transfer Channel::receive(char* bytes, std::size_t count) {
+Transfer TcpConnection::receive(char* bytes, std::size_t count) {
   try {
     const int got = socket_.receiveBytes(bytes, static_cast<int>(count));
     if (got == 0)
@@ -65,7 +65,7 @@
   }
 }
 
-bool Channel::is_connected_well() {
+bool TcpConnection::is_connected_well() {
   try {
     return socket_.impl()->socketError() == 0;
   } catch (const Poco::Exception&) {
@@ -73,7 +73,7 @@
   }
 }
 
-int Channel::own_port() const {
+int TcpConnection::own_port() const {
   try {
     return socket_.address().port();
   } catch (const Poco::Exception&) {
@@ -81,7 +81,7 @@
   }
 }
 
-void Channel::finish_sending() {
+void TcpConnection::finish_sending() {
   try {
     socket_.shutdownSend();
   } catch (const Poco::Exception&) {
@@ -89,7 +89,7 @@
   }
 }
 
-void Channel::reset_at_close() {
+void TcpConnection::reset_at_close() {
   try {
     socket_.setLinger(true, 0);
   } catch (const Poco::Exception&) {
@@ -97,7 +97,7 @@
   }
 }
 
-Fault Listener::open(const Address& address) {
+Error Listener::open(const Address& address) {
   try {
     Poco::Net::ServerSocket socket;
     socket.bind(SocketAddress(address.host, static_cast<Poco::UInt16>(address.port)), true, false);
@@ -107,13 +107,13 @@
     is_open_ = true;
     return {};
   } catch (const Poco::Exception& thrown) {
-    return fault(Kind::link, "listen", address.text() + ": " + thrown.displayText());
+    return make_error(ErrorCode::link, "listen", address.text() + ": " + thrown.displayText());
   }
 }
 
-std::optional<Channel> Listener::admit() {
+std::optional<TcpConnection> Listener::admit() {
   try {
-    return Channel(socket_.acceptConnection());
+    return TcpConnection(socket_.acceptConnection());
   } catch (const Poco::Exception&) {
     return std::nullopt;
   }
@@ -179,10 +179,10 @@
   }
 }
 
-void Poller::poll(Span most) {
+void Poller::poll(Duration limit) {
   PollSet::SocketModeMap ready;
   try {
-    ready = set_.poll(Poco::Timespan(most.count() * 1000));
+    ready = set_.poll(Poco::Timespan(limit.count() * 1000));
   } catch (const Poco::Exception&) {
     return;
   }
--- a/src/transport/channel.h
+++ b/src/transport/channel.h
@@ -28,13 +28,13 @@
   bool is_closed = false;  // the peer closed, or the connection broke
 };
 
-class Channel {
+class TcpConnection {
  public:
-  Channel() = default;
-  explicit Channel(Poco::Net::StreamSocket socket) : socket_(std::move(socket)) {
+  TcpConnection() = default;
+  explicit TcpConnection(Poco::Net::StreamSocket socket) : socket_(std::move(socket)) {
     prepare();
   }
-  static std::optional<Channel> connect(const Address& address);
+  static std::optional<TcpConnection> connect(const Address& address);
 
   Transfer send(const char* bytes, std::size_t count);
   Transfer receive(char* bytes, std::size_t count);
@@ -53,8 +53,8 @@
 
 class Listener {
  public:
-  Fault open(const Address& address);
-  std::optional<Channel> admit();
+  Error open(const Address& address);
+  std::optional<TcpConnection> admit();
   void close();
   const Poco::Net::ServerSocket& socket() const {
     return socket_;
@@ -79,7 +79,7 @@
   void watch(const Poco::Net::Socket& socket, int mode, Watcher& watcher);
   void change(const Poco::Net::Socket& socket, int mode);
   void leave(const Poco::Net::Socket& socket);
-  void poll(Span most);
+  void poll(Duration limit);
   void wake() {
     waker_.wake();
   }
--- a/src/transport/http.cpp
+++ b/src/transport/http.cpp
@@ -101,22 +101,22 @@
   return false;
 }
 
-Kind check_head(std::string_view head, bool is_request, HeadFacts& facts) {
+ErrorCode check_head(std::string_view head, bool is_request, HeadFacts& facts) {
   facts = {};
   bool is_first = true, has_length = false, has_coding = false;
   int hosts = 0;
   while (!head.empty()) {
     const auto end = head.find("\r\n");
     if (end == std::string_view::npos)
-      return Kind::malformed;
+      return ErrorCode::malformed;
     const std::string_view line = head.substr(0, end);
     head.remove_prefix(end + 2);
     for (char letter : line)
       if (letter == '\r' || letter == '\n' || letter == '\0')
-        return Kind::malformed;
+        return ErrorCode::malformed;
     if (is_first) {
       if (!check_start(line, is_request, facts))
-        return Kind::malformed;
+        return ErrorCode::malformed;
       is_first = false;
       continue;
     }
@@ -125,21 +125,21 @@
     const auto colon = line.find(':');
     if (colon == std::string_view::npos || colon == 0 ||
         !std::all_of(line.begin(), line.begin() + colon, is_token_letter))
-      return Kind::malformed;
+      return ErrorCode::malformed;
     const std::string_view name = line.substr(0, colon), value = trimmed(line.substr(colon + 1));
     if (is_same_name(name, "Content-Length")) {
       std::size_t length = 0;
       if (!parse_length(value, length) || (has_length && length != facts.length))
-        return Kind::length_required_conflict;
+        return ErrorCode::length_required_conflict;
       if (has_length && is_request)
-        return Kind::length_required_conflict;
+        return ErrorCode::length_required_conflict;
       facts.length = length;
       has_length = true;
     } else if (is_same_name(name, "Transfer-Encoding")) {
       if (has_coding)
-        return Kind::length_required_conflict;
+        return ErrorCode::length_required_conflict;
       if (!is_same_name(value, "chunked"))
-        return Kind::unsupported_coding;
+        return ErrorCode::unsupported_coding;
       has_coding = true;
     } else if (is_same_name(name, "Connection")) {
       if (holds_token(value, "close"))
@@ -150,35 +150,35 @@
       ++hosts;
     } else if (is_request && is_same_name(name, "Expect")) {
       if (!is_same_name(value, "100-continue"))
-        return Kind::expectation;
+        return ErrorCode::expectation;
       facts.is_waiting = !facts.is_old;
     }
   }
   if (has_length && has_coding)
-    return Kind::length_required_conflict;
+    return ErrorCode::length_required_conflict;
   if (has_coding && facts.is_old)
-    return Kind::length_required_conflict;
+    return ErrorCode::length_required_conflict;
   if (is_request && (hosts > 1 || (hosts == 0 && !facts.is_old)))
-    return Kind::malformed;
+    return ErrorCode::malformed;
   if (has_coding)
     facts.framing = Framing::chunked;
   else if (has_length)
     facts.framing = facts.length ? Framing::length : Framing::none;
   else
     facts.framing = is_request ? Framing::none : Framing::until_close;
-  return Kind::none;
+  return ErrorCode::none;
 }
 
 void MessageReader::reset() {
   phase_ = Phase::head;
-  why_ = Kind::none;
+  why_ = ErrorCode::none;
   facts_ = {};
   body_.clear();
   is_bodiless_ = false;
   chunk_left_ = trailer_bytes_ = 0;
 }
 
-MessageReader::Step MessageReader::fail(Kind why) {
+MessageReader::Step MessageReader::fail(ErrorCode why) {
   why_ = why;
   return Step::failed;
 }
@@ -188,17 +188,17 @@
     while (buffer.starts_with("\r\n"))
       buffer.erase(0, 2);
   const auto end = buffer.find("\r\n\r\n");
-  if (end == std::string::npos || end + 4 > most_head_) {
-    if (buffer.size() > most_head_ || end != std::string::npos)
-      return fail(Kind::head_too_large);
+  if (end == std::string::npos || end + 4 > max_head_) {
+    if (buffer.size() > max_head_ || end != std::string::npos)
+      return fail(ErrorCode::head_too_large);
     // A line that can never become proper is refused before its end is waited for.
     if (const auto bare = buffer.find('\n');
         bare != std::string::npos && (bare == 0 || buffer[bare - 1] != '\r'))
-      return fail(Kind::malformed);
+      return fail(ErrorCode::malformed);
     return Step::more;
   }
   const std::string_view head(buffer.data(), end + 4);
-  if (const Kind kind = check_head(head, is_request_, facts_); kind != Kind::none)
+  if (const ErrorCode kind = check_head(head, is_request_, facts_); kind != ErrorCode::none)
     return fail(kind);
   try {
     Poco::MemoryInputStream stream(head.data(), static_cast<std::streamsize>(head.size()));
@@ -210,23 +210,23 @@
       response_.read(stream);
     }
   } catch (const Poco::Exception&) {
-    return fail(Kind::malformed);
+    return fail(ErrorCode::malformed);
   }
   buffer.erase(0, end + 4);
   if (!is_request_) {
     const int status = response_.getStatus();
     if (status >= 100 && status < 200) {
       if (status == 101)
-        return fail(Kind::garbled);
+        return fail(ErrorCode::garbled);
       return read_head(buffer);
     }
     if (is_bodiless_ || status == 204 || status == 304)
       facts_.framing = Framing::none;
     if (facts_.framing == Framing::until_close)
-      return fail(Kind::garbled);  // its end could not be told from a break
+      return fail(ErrorCode::garbled);  // its end could not be told from a break
   }
-  if (facts_.framing == Framing::length && facts_.length > most_body_)
-    return fail(Kind::body_too_large);
+  if (facts_.framing == Framing::length && facts_.length > max_body_)
+    return fail(ErrorCode::body_too_large);
   phase_ = facts_.framing == Framing::none     ? Phase::done
            : facts_.framing == Framing::length ? Phase::body
                                                : Phase::chunk_size;
@@ -253,24 +253,24 @@
     const auto end = rest.find("\r\n");
     if (end == std::string_view::npos) {
       if (rest.size() > 1024)
-        step = fail(Kind::malformed);
+        step = fail(ErrorCode::malformed);
       break;
     }
     const std::string_view line = rest.substr(0, end);
     used += end + 2;
     if (line.find_first_of("\r\n") != std::string_view::npos) {
-      step = fail(Kind::malformed);
+      step = fail(ErrorCode::malformed);
       break;
     }
     if (phase_ == Phase::chunk_end) {
       if (!line.empty()) {
-        step = fail(Kind::malformed);
+        step = fail(ErrorCode::malformed);
         break;
       }
       phase_ = Phase::chunk_size;
     } else if (phase_ == Phase::trailer) {
-      if ((trailer_bytes_ += line.size() + 2) > most_head_) {
-        step = fail(Kind::head_too_large);
+      if ((trailer_bytes_ += line.size() + 2) > max_head_) {
+        step = fail(ErrorCode::head_too_large);
         break;
       }
       if (line.empty())
@@ -278,7 +278,7 @@
     } else {
       const std::string_view digits = trimmed(line.substr(0, line.find(';')));
       if (digits.empty() || digits.size() > 8) {
-        step = fail(Kind::malformed);
+        step = fail(ErrorCode::malformed);
         break;
       }
       chunk_left_ = 0;
@@ -291,11 +291,11 @@
         chunk_left_ = chunk_left_ * 16 + static_cast<std::size_t>(std::max(value, 0));
       }
       if (!is_hex || line.front() == ' ' || line.front() == '\t') {
-        step = fail(Kind::malformed);
+        step = fail(ErrorCode::malformed);
         break;
       }
-      if (body_.size() + chunk_left_ > most_body_) {
-        step = fail(Kind::body_too_large);
+      if (body_.size() + chunk_left_ > max_body_) {
+        step = fail(ErrorCode::body_too_large);
         break;
       }
       phase_ = chunk_left_ ? Phase::chunk_data : Phase::trailer;
--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -29,7 +29,7 @@
 
 // Refuses whatever could be read in two ways: bare CR or LF, folded lines, blanks before a colon,
 // several or odd lengths, a length beside a transfer coding, no or several hosts.
-Kind check_head(std::string_view head, bool is_request, HeadFacts& facts);
+ErrorCode check_head(std::string_view head, bool is_request, HeadFacts& facts);
 
 // Reads one message out of a growing buffer.
 // Invariant: bytes behind the message stay in the buffer untouched.
@@ -40,8 +40,8 @@
     done,
     failed
   };
-  MessageReader(bool is_request, std::size_t most_head, std::size_t most_body)
-      : is_request_(is_request), most_head_(most_head), most_body_(most_body) {
+  MessageReader(bool is_request, std::size_t max_head, std::size_t max_body)
+      : is_request_(is_request), max_head_(max_head), max_body_(max_body) {
   }
 
   Step advance(std::string& buffer);
@@ -53,7 +53,7 @@
   bool has_head() const {
     return phase_ != Phase::head;
   }
-  Kind why() const {
+  ErrorCode why() const {
     return why_;
   }
   const HeadFacts& facts() const {
@@ -81,12 +81,12 @@
   };
   Step read_head(std::string& buffer);
   Step read_chunks(std::string& buffer);
-  Step fail(Kind why);
+  Step fail(ErrorCode why);
 
   bool is_request_, is_bodiless_ = false;
-  std::size_t most_head_, most_body_, chunk_left_ = 0, trailer_bytes_ = 0;
+  std::size_t max_head_, max_body_, chunk_left_ = 0, trailer_bytes_ = 0;
   Phase phase_ = Phase::head;
-  Kind why_ = Kind::none;
+  ErrorCode why_ = ErrorCode::none;
   HeadFacts facts_;
   Poco::Net::HTTPRequest request_;
   Poco::Net::HTTPResponse response_;
--- a/src/transport/link.cpp
+++ b/src/transport/link.cpp
@@ -3,14 +3,14 @@
 namespace saddlewing {
 namespace {
 
-constexpr int most_held = 256;  // frames a socket holds each way
+constexpr int max_held = 256;  // frames a socket holds each way
 constexpr int largest_frame =
     16 << 20;  // an entry carries the whole state: a configuration of 8 MiB and the sheets
 
 void prepare(zmq::socket_t& socket) {
   socket.set(zmq::sockopt::linger, 0);
-  socket.set(zmq::sockopt::sndhwm, most_held);
-  socket.set(zmq::sockopt::rcvhwm, most_held);
+  socket.set(zmq::sockopt::sndhwm, max_held);
+  socket.set(zmq::sockopt::rcvhwm, max_held);
   socket.set(zmq::sockopt::maxmsgsize, static_cast<std::int64_t>(largest_frame));
   socket.set(zmq::sockopt::heartbeat_ivl, 1000);
   socket.set(zmq::sockopt::heartbeat_timeout, 2500);
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-Fault Hub::open(LinkContext& context, const Address& address) {
+Error FrameServer::open(LinkContext& context, const Address& address) {
   try {
     socket_ = zmq::socket_t(context.context(), zmq::socket_type::router);
     prepare(socket_);
@@ -34,30 +34,32 @@
     socket_.bind("tcp://" + address.text());
     return {};
   } catch (const zmq::error_t& thrown) {
-    return fault(Kind::link, "bind of the inner address", address.text() + ": " + thrown.what());
+    return make_error(ErrorCode::link, "bind of the inner address",
+                      address.text() + ": " + thrown.what());
   }
 }
 
-std::optional<Parcel> Hub::receive() {
+std::optional<ReceivedFrame> FrameServer::receive() {
   try {
-    auto route = receive_part(socket_, zmq::recv_flags::dontwait);
-    if (!route)
+    auto routing_id = receive_part(socket_, zmq::recv_flags::dontwait);
+    if (!routing_id)
       return std::nullopt;
-    Parcel parcel{std::move(*route), {}};
+    ReceivedFrame frame{std::move(*routing_id), {}};
     while (socket_.get(zmq::sockopt::rcvmore)) {
       auto part = receive_part(socket_, zmq::recv_flags::dontwait);
       if (part)
-        parcel.bytes += *part;
+        frame.bytes += *part;
     }
-    return parcel;
+    return frame;
   } catch (const zmq::error_t&) {
     return std::nullopt;
   }
 }
 
-bool Hub::send(const std::string& route, const std::string& bytes) {
+bool FrameServer::send(const std::string& routing_id, const std::string& bytes) {
   try {
-    if (!socket_.send(zmq::buffer(route), zmq::send_flags::sndmore | zmq::send_flags::dontwait))
+    if (!socket_.send(zmq::buffer(routing_id),
+                      zmq::send_flags::sndmore | zmq::send_flags::dontwait))
       return false;
     return socket_.send(zmq::buffer(bytes), zmq::send_flags::dontwait).has_value();
   } catch (const zmq::error_t&) {
@@ -65,7 +67,7 @@
   }
 }
 
-Spoke::Spoke(LinkContext& context, const Address& address) : address_(address) {
+FrameClient::FrameClient(LinkContext& context, const Address& address) : address_(address) {
   try {
     socket_ = zmq::socket_t(context.context(), zmq::socket_type::dealer);
     prepare(socket_);
@@ -79,20 +81,20 @@
   }
 }
 
-std::optional<Parcel> Spoke::receive() {
+std::optional<ReceivedFrame> FrameClient::receive() {
   try {
     auto bytes = receive_part(socket_, zmq::recv_flags::dontwait);
     if (!bytes)
       return std::nullopt;
     while (socket_.get(zmq::sockopt::rcvmore))
       receive_part(socket_, zmq::recv_flags::dontwait);
-    return Parcel{{}, std::move(*bytes)};
+    return ReceivedFrame{{}, std::move(*bytes)};
   } catch (const zmq::error_t&) {
     return std::nullopt;
   }
 }
 
-bool Spoke::send(const std::string& bytes) {
+bool FrameClient::send(const std::string& bytes) {
   try {
     return socket_.send(zmq::buffer(bytes), zmq::send_flags::dontwait).has_value();
   } catch (const zmq::error_t&) {
@@ -100,14 +102,14 @@
   }
 }
 
-void wait_links(const std::vector<void*>& handles, const Waker& waker, Span most) {
+void wait_links(const std::vector<void*>& handles, const Waker& waker, Duration limit) {
   std::vector<zmq::pollitem_t> items;
   items.reserve(handles.size() + 1);
   for (void* handle : handles)
     items.push_back({handle, 0, ZMQ_POLLIN, 0});
   items.push_back({nullptr, waker.descriptor(), ZMQ_POLLIN, 0});
   try {
-    zmq::poll(items, most);
+    zmq::poll(items, limit);
   } catch (const zmq::error_t&) {
     return;
   }
--- a/src/transport/link.h
+++ b/src/transport/link.h
@@ -13,8 +13,8 @@
 
 namespace saddlewing {
 
-struct Parcel {
-  std::string route;  // whom to answer at the hub; empty at a spoke
+struct ReceivedFrame {
+  std::string routing_id;  // whom to answer at the hub; empty at a spoke
   std::string bytes;
 };
 
@@ -31,11 +31,11 @@
 };
 
 // Admits nodes at the inner address.
-class Hub {
+class FrameServer {
  public:
-  Fault open(LinkContext& context, const Address& address);
-  std::optional<Parcel> receive();
-  bool send(const std::string& route, const std::string& bytes);
+  Error open(LinkContext& context, const Address& address);
+  std::optional<ReceivedFrame> receive();
+  bool send(const std::string& routing_id, const std::string& bytes);
   void* handle() {
     return socket_.handle();
   }
@@ -45,10 +45,10 @@
 };
 
 // Reaches one node. Frames for a node that is not connected are dropped at once, never held.
-class Spoke {
+class FrameClient {
  public:
-  Spoke(LinkContext& context, const Address& address);
-  std::optional<Parcel> receive();
+  FrameClient(LinkContext& context, const Address& address);
+  std::optional<ReceivedFrame> receive();
   bool send(const std::string& bytes);
   void* handle() {
     return socket_.handle();
@@ -63,6 +63,6 @@
 };
 
 // Waits until a handle is readable, the waker is woken or the time is over.
-void wait_links(const std::vector<void*>& handles, const Waker& waker, Span most);
+void wait_links(const std::vector<void*>& handles, const Waker& waker, Duration limit);
 
 }  // namespace saddlewing
--- a/src/transport/ring.h
+++ b/src/transport/ring.h
@@ -38,9 +38,9 @@
 
 // Invariant: at most `capacity` items wait. The reader is woken only when the ring was empty.
 template <class T>
-class Ring {
+class BoundedQueue {
  public:
-  Ring(std::size_t capacity, std::function<void()> wake)
+  BoundedQueue(std::size_t capacity, std::function<void()> wake)
       : capacity_(capacity), wake_(std::move(wake)) {
   }
   bool push(T item) {
--- a/src/transport/schedule.h
+++ b/src/transport/schedule.h
@@ -6,12 +6,12 @@
 
 namespace saddlewing {
 
-class Schedule;
+class TimerQueue;
 
 // Something with at most one moment in a schedule. Leaves the schedule when destroyed.
 class Scheduled {
  public:
-  virtual void on_due(Moment now) = 0;
+  virtual void on_due(TimePoint now) = 0;
 
  protected:
   Scheduled() = default;
@@ -20,47 +20,47 @@
   Scheduled& operator=(const Scheduled&) = delete;
 
  private:
-  friend class Schedule;
+  friend class TimerQueue;
   struct Slot {
-    Moment when;
+    TimePoint when;
     Scheduled* who;
     bool operator<(const Slot& other) const {
       return when > other.when;
     }  // earliest on top
   };
   using Heap = boost::heap::d_ary_heap<Slot, boost::heap::arity<4>, boost::heap::mutable_<true>>;
-  Schedule* schedule_ = nullptr;  // invariant: set exactly while handle_ is in its heap
+  TimerQueue* timers_ = nullptr;  // invariant: set exactly while handle_ is in its heap
   Heap::handle_type handle_;
 };
 
-class Schedule {
+class TimerQueue {
  public:
-  void set(Scheduled& who, Moment when) {
-    if (who.schedule_) {
+  void set(Scheduled& who, TimePoint when) {
+    if (who.timers_) {
       heap_.update(who.handle_, {when, &who});
     } else {
       who.handle_ = heap_.push({when, &who});
-      who.schedule_ = this;
+      who.timers_ = this;
     }
   }
   void drop(Scheduled& who) {
-    if (!who.schedule_)
+    if (!who.timers_)
       return;
     heap_.erase(who.handle_);
-    who.schedule_ = nullptr;
+    who.timers_ = nullptr;
   }
-  void run(Moment now) {
+  void run(TimePoint now) {
     while (!heap_.empty() && heap_.top().when <= now) {
       Scheduled* who = heap_.top().who;
       drop(*who);
       who->on_due(now);
     }
   }
-  Span until_next(Moment now, Span most) const {
+  Duration until_next(TimePoint now, Duration limit) const {
     if (heap_.empty())
-      return most;
-    const auto wait = std::chrono::ceil<Span>(heap_.top().when - now);
-    return std::clamp(wait, Span(0), most);
+      return limit;
+    const auto wait = std::chrono::ceil<Duration>(heap_.top().when - now);
+    return std::clamp(wait, Duration(0), limit);
   }
 
  private:
@@ -68,8 +68,8 @@
 };
 
 inline Scheduled::~Scheduled() {
-  if (schedule_)
-    schedule_->drop(*this);
+  if (timers_)
+    timers_->drop(*this);
 }
 
 }  // namespace saddlewing
--- a/src/transport/server.cpp
+++ b/src/transport/server.cpp
@@ -6,10 +6,10 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::size_t most_ahead = 65536;  // bytes read ahead of the request at work
-constexpr Span linger{1000};               // how long a closing connection may take to be read out
+constexpr std::size_t max_ahead = 65536;  // bytes read ahead of the request at work
+constexpr Duration linger{1000};          // how long a closing connection may take to be read out
 
-std::string write_reply(const Reply& reply, bool should_close, bool is_head, Span quiet) {
+std::string write_reply(const Reply& reply, bool should_close, bool is_head, Duration quiet) {
   std::string text = "HTTP/1.1 " + std::to_string(reply.status) + " " + reply.reason + "\r\n";
   text += reply.fields;
   if (reply.status != 204 && reply.status != 304 && !reply.is_bodiless)
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-Reply reply_of(Kind kind, const std::string& text) {
+Reply reply_of(ErrorCode kind, const std::string& text) {
   const StatusLine line = status_of(kind);
   Reply reply{line.status, line.reason, "Content-Type: text/plain\r\n",
               text.empty() ? make_error_code(kind).message() : text};
@@ -35,46 +35,47 @@
   return reply;
 }
 
-Visit::Visit(Server& server, VisitId id, Channel channel, Moment now)
+ServerExchange::ServerExchange(HttpServer& server, ExchangeId id, TcpConnection channel,
+                               TimePoint now)
     : server_(server),
       id_(id),
-      channel_(std::move(channel)),
-      reader_(true, server.limits_.most_head, server.limits_.most_body) {
-  server_.poller_.watch(channel_.socket(), Poller::read, *this);
+      tcp_(std::move(channel)),
+      reader_(true, server.limits_.max_head, server.limits_.max_body) {
+  server_.poller_.watch(tcp_.socket(), Poller::read, *this);
   start_reading(now);
 }
 
-Visit::~Visit() {
-  server_.poller_.leave(channel_.socket());
+ServerExchange::~ServerExchange() {
+  server_.poller_.leave(tcp_.socket());
 }
 
-void Visit::start_reading(Moment now) {
+void ServerExchange::start_reading(TimePoint now) {
   state_ = State::reading;
-  reader_ = MessageReader(true, server_.limits_.most_head, server_.limits_.most_body);
+  reader_ = MessageReader(true, server_.limits_.max_head, server_.limits_.max_body);
   has_continued_ = false;
   is_fresh_ = true;
   moved_ = now;
   count_held();
-  server_.schedule_.set(*this, now + server_.limits_.quiet);
+  server_.timers_.set(*this, now + server_.limits_.quiet);
 }
 
-void Visit::on_ready(bool is_readable, bool is_writable) {
-  const Moment now = Clock::now();
+void ServerExchange::on_ready(bool is_readable, bool is_writable) {
+  const TimePoint now = Clock::now();
   if (is_writable && state_ != State::closed)
     flush(now);
   if (is_readable && state_ != State::closed)
     read(now);
 }
 
-void Visit::read(Moment now) {
+void ServerExchange::read(TimePoint now) {
   char bytes[16384];
   for (int round = 0; round < 4 && state_ != State::closed; ++round) {
     if (state_ != State::reading &&
-        in_.size() >= most_ahead) {  // enough is waiting: the rest stays in the socket
-      server_.poller_.change(channel_.socket(), out_.empty() ? 0 : Poller::write);
+        in_.size() >= max_ahead) {  // enough is waiting: the rest stays in the socket
+      server_.poller_.change(tcp_.socket(), out_.empty() ? 0 : Poller::write);
       return;
     }
-    const Transfer got = channel_.receive(bytes, sizeof bytes);
+    const Transfer got = tcp_.receive(bytes, sizeof bytes);
     if (got.is_closed) {
       has_ended_ = true;
       if (state_ == State::handling)
@@ -88,8 +89,8 @@
     in_.append(bytes, got.count);
     moved_ = now;
     count_held();
-    if (state_ == State::reading && server_.held_ > server_.most_held_)
-      return refuse(Kind::overloaded, now);
+    if (state_ == State::reading && server_.held_ > server_.max_held_)
+      return refuse(ErrorCode::overloaded, now);
     if (state_ == State::reading)
       advance(now);
     if (got.count < sizeof bytes)
@@ -97,13 +98,13 @@
   }
 }
 
-void Visit::count_held() {
+void ServerExchange::count_held() {
   const std::size_t holds = in_.size() + out_.size() - sent_ + reader_.body().size();
   server_.held_ += holds - held_;
   held_ = holds;
 }
 
-void Visit::advance(Moment now) {
+void ServerExchange::advance(TimePoint now) {
   if (std::exchange(is_advancing_, true))
     return;
   while (state_ == State::reading && take_next(now)) {
@@ -111,13 +112,13 @@
   is_advancing_ = false;
 }
 
-bool Visit::take_next(Moment now) {
+bool ServerExchange::take_next(TimePoint now) {
   if (in_.empty() && is_fresh_)
     return false;
   if (is_fresh_) {
     is_fresh_ = false;
     began_ = now;
-    server_.schedule_.set(*this, now + server_.limits_.header_wait);
+    server_.timers_.set(*this, now + server_.limits_.header_wait);
   }
   const bool had_head = reader_.has_head();
   const MessageReader::Step step = reader_.advance(in_);
@@ -127,7 +128,7 @@
   }
   if (step == MessageReader::Step::more) {
     if (!had_head && reader_.has_head())
-      server_.schedule_.set(*this, now + server_.limits_.quiet);
+      server_.timers_.set(*this, now + server_.limits_.quiet);
     if (reader_.has_head() && facts().is_waiting && !has_continued_ && reader_.body().empty()) {
       has_continued_ = true;
       out_ += "HTTP/1.1 100 Continue\r\n\r\n";
@@ -136,13 +137,13 @@
     return false;
   }
   state_ = State::handling;
-  server_.schedule_.drop(*this);
+  server_.timers_.drop(*this);
   is_head_ = request().getMethod() == "HEAD";
   server_.handler_.on_request(*this, now);
   return true;
 }
 
-void Visit::refuse(Kind kind, Moment now) {
+void ServerExchange::refuse(ErrorCode kind, TimePoint now) {
   Reply reply = reply_of(kind);
   reply.should_close = true;  // its framing is in doubt
   is_head_ = false;
@@ -150,29 +151,29 @@
   answer(std::move(reply), now);
 }
 
-void Visit::answer(Reply reply, Moment now) {
+void ServerExchange::answer(Reply reply, TimePoint now) {
   if (state_ != State::handling)
     return;
   should_close_ = reply.should_close || !facts().is_persistent || server_.is_leaving_;
   out_ += write_reply(reply, should_close_, is_head_, server_.limits_.quiet);
   state_ = State::answering;
-  server_.schedule_.set(*this, now + server_.limits_.quiet);
+  server_.timers_.set(*this, now + server_.limits_.quiet);
   moved_ = now;
   flush(now);
   if (state_ != State::closed)
     count_held();
 }
 
-void Visit::flush(Moment now) {
+void ServerExchange::flush(TimePoint now) {
   while (sent_ < out_.size()) {
-    const Transfer gone = channel_.send(out_.data() + sent_, out_.size() - sent_);
+    const Transfer gone = tcp_.send(out_.data() + sent_, out_.size() - sent_);
     if (gone.is_closed) {
       if (state_ == State::handling)
         server_.handler_.on_gone(*this);
       return close();
     }
     if (!gone.count) {
-      server_.poller_.change(channel_.socket(), Poller::read | Poller::write);
+      server_.poller_.change(tcp_.socket(), Poller::read | Poller::write);
       return;
     }
     sent_ += gone.count;
@@ -180,17 +181,17 @@
   }
   out_.clear();
   sent_ = 0;
-  server_.poller_.change(channel_.socket(), Poller::read);
+  server_.poller_.change(tcp_.socket(), Poller::read);
   if (state_ == State::answering)
     settle(now);
 }
 
 // The answer is out whole: the next request, or the end.
-void Visit::settle(Moment now) {
+void ServerExchange::settle(TimePoint now) {
   if (should_close_) {
     state_ = State::closing;
-    channel_.finish_sending();
-    server_.schedule_.set(*this, now + linger);
+    tcp_.finish_sending();
+    server_.timers_.set(*this, now + linger);
     return;
   }
   start_reading(now);
@@ -198,32 +199,32 @@
     advance(now);
 }
 
-void Visit::on_due(Moment now) {
+void ServerExchange::on_due(TimePoint now) {
   if (state_ == State::closing)
     return close();
   if (state_ == State::reading && !is_fresh_) {
     // A body may take its time as long as it moves.
     if (reader_.has_head() && now - moved_ < server_.limits_.quiet) {
-      server_.schedule_.set(*this, moved_ + server_.limits_.quiet);
+      server_.timers_.set(*this, moved_ + server_.limits_.quiet);
       return;
     }
-    return refuse(Kind::too_slow, now);
+    return refuse(ErrorCode::too_slow, now);
   }
   if (state_ == State::answering && now - moved_ < server_.limits_.quiet) {
-    server_.schedule_.set(*this, moved_ + server_.limits_.quiet);
+    server_.timers_.set(*this, moved_ + server_.limits_.quiet);
     return;
   }
   close();
 }
 
-void Visit::close() {
+void ServerExchange::close() {
   if (state_ == State::closed)
     return;
   state_ = State::closed;
   server_.held_ -= held_;
   held_ = 0;
-  server_.schedule_.drop(*this);
-  server_.poller_.leave(channel_.socket());
+  server_.timers_.drop(*this);
+  server_.poller_.leave(tcp_.socket());
   const auto found = server_.visits_.find(id_);
   if (found == server_.visits_.end())
     return;
@@ -231,14 +232,14 @@
   server_.visits_.erase(found);
 }
 
-Fault Server::open(const Address& address) {
-  if (Fault found = listener_.open(address))
+Error HttpServer::open(const Address& address) {
+  if (Error found = listener_.open(address))
     return found;
   poller_.watch(listener_.socket(), Poller::read, *this);
   return {};
 }
 
-void Server::stop_admitting() {
+void HttpServer::stop_admitting() {
   if (!listener_.is_open())
     return;
   on_ready(true, false);  // whoever waits at the door still comes in
@@ -246,33 +247,33 @@
   listener_.close();
 }
 
-void Server::close_idle() {
-  std::vector<Visit*> idle;
-  for (const auto& [id, visit] : visits_)
-    if (visit->state_ == Visit::State::reading && visit->is_fresh_)
-      idle.push_back(visit.get());
-  for (Visit* visit : idle) {
-    visit->read(Clock::now());  // a request that just came is served first
-    if (visit->state_ == Visit::State::reading && visit->is_fresh_)
-      visit->close();
+void HttpServer::close_idle() {
+  std::vector<ServerExchange*> idle;
+  for (const auto& [id, exchange] : visits_)
+    if (exchange->state_ == ServerExchange::State::reading && exchange->is_fresh_)
+      idle.push_back(exchange.get());
+  for (ServerExchange* exchange : idle) {
+    exchange->read(Clock::now());  // a request that just came is served first
+    if (exchange->state_ == ServerExchange::State::reading && exchange->is_fresh_)
+      exchange->close();
   }
 }
 
-Visit* Server::find(VisitId id) {
+ServerExchange* HttpServer::find(ExchangeId id) {
   const auto found = visits_.find(id);
   return found == visits_.end() ? nullptr : found->second.get();
 }
 
-void Server::on_ready(bool, bool) {
-  const Moment now = Clock::now();
+void HttpServer::on_ready(bool, bool) {
+  const TimePoint now = Clock::now();
   for (int round = 0; round < 64; ++round) {
     auto channel = listener_.admit();
     if (!channel)
       return;
-    if (visits_.size() >= most_visits_)
+    if (visits_.size() >= max_exchanges_)
       continue;  // closed by its destructor
-    const VisitId id{++last_id_};
-    visits_[id] = std::make_unique<Visit>(*this, id, std::move(*channel), now);
+    const ExchangeId id{++last_id_};
+    visits_[id] = std::make_unique<ServerExchange>(*this, id, std::move(*channel), now);
   }
 }
 
--- a/src/transport/server.h
+++ b/src/transport/server.h
@@ -12,11 +12,11 @@
 
 namespace saddlewing {
 
-using VisitId = Strong<struct VisitTag, std::uint64_t>;
+using ExchangeId = Strong<struct VisitTag, std::uint64_t>;
 
-struct VisitLimits {
-  std::size_t most_head = 16384, most_body = 262144;
-  Span header_wait{3000}, quiet{15000};
+struct ExchangeLimits {
+  std::size_t max_head = 16384, max_body = 262144;
+  Duration header_wait{3000}, quiet{15000};
 };
 
 struct Reply {
@@ -27,12 +27,12 @@
   bool should_close = false;
   bool is_bodiless = false;  // to HEAD: `fields` tell the length, if anybody knows it
 };
-Reply reply_of(Kind kind, const std::string& text = {});
+Reply reply_of(ErrorCode kind, const std::string& text = {});
 
-class Server;
+class HttpServer;
 
 // One connection of a client. Its way: Reading -> Handling -> Answering -> Reading or Closing.
-class Visit final : public Watcher, public Scheduled {
+class ServerExchange final : public Watcher, public Scheduled {
  public:
   enum class State {
     reading,
@@ -41,10 +41,10 @@
     closing,
     closed
   };
-  Visit(Server& server, VisitId id, Channel channel, Moment now);
-  ~Visit() override;
+  ServerExchange(HttpServer& server, ExchangeId id, TcpConnection channel, TimePoint now);
+  ~ServerExchange() override;
 
-  VisitId id() const {
+  ExchangeId id() const {
     return id_;
   }
   const Poco::Net::HTTPRequest& request() const {
@@ -56,29 +56,29 @@
   std::string& body() {
     return reader_.body();
   }
-  Moment began() const {
+  TimePoint began() const {
     return began_;
   }  // when the first byte of the request was seen
-  void answer(Reply reply, Moment now);
+  void answer(Reply reply, TimePoint now);
 
   void on_ready(bool is_readable, bool is_writable) override;
-  void on_due(Moment now) override;
+  void on_due(TimePoint now) override;
 
  private:
-  friend class Server;
-  void read(Moment now);
-  void advance(Moment now);
-  bool take_next(Moment now);  // whether a request was whole and handed on
-  void flush(Moment now);
-  void settle(Moment now);
-  void refuse(Kind kind, Moment now);
-  void start_reading(Moment now);
+  friend class HttpServer;
+  void read(TimePoint now);
+  void advance(TimePoint now);
+  bool take_next(TimePoint now);  // whether a request was whole and handed on
+  void flush(TimePoint now);
+  void settle(TimePoint now);
+  void refuse(ErrorCode kind, TimePoint now);
+  void start_reading(TimePoint now);
   void close();
   void count_held();
 
-  Server& server_;
-  VisitId id_;
-  Channel channel_;
+  HttpServer& server_;
+  ExchangeId id_;
+  TcpConnection tcp_;
   MessageReader reader_;
   State state_ = State::reading;
   std::string in_, out_;
@@ -87,36 +87,37 @@
   bool is_advancing_ =
       false;  // requests answered at once are taken in turn, not each within the one before
   bool is_fresh_ = true;  // nothing of the next request has come yet
-  Moment began_{}, moved_{};
+  TimePoint began_{}, moved_{};
 };
 
-class Server final : public Watcher {
+class HttpServer final : public Watcher {
  public:
   class Handler {
    public:
     virtual ~Handler() = default;
-    virtual void on_request(Visit& visit, Moment now) = 0;
-    virtual void on_gone(Visit& visit) = 0;  // the client left while its request was handled
+    virtual void on_request(ServerExchange& exchange, TimePoint now) = 0;
+    virtual void on_gone(
+        ServerExchange& exchange) = 0;  // the client left while its request was handled
   };
-  Server(Poller& poller, Schedule& schedule, Handler& handler, std::size_t most_visits,
-         std::size_t most_held)
+  HttpServer(Poller& poller, TimerQueue& timers, Handler& handler, std::size_t most_visits,
+             std::size_t max_held)
       : poller_(poller),
-        schedule_(schedule),
+        timers_(timers),
         handler_(handler),
-        most_visits_(most_visits),
-        most_held_(most_held) {
+        max_exchanges_(most_visits),
+        max_held_(max_held) {
   }
 
-  Fault open(const Address& address);
+  Error open(const Address& address);
   void stop_admitting();
-  void set_limits(const VisitLimits& limits) {
+  void set_limits(const ExchangeLimits& limits) {
     limits_ = limits;
   }
   void set_leaving() {
     is_leaving_ = true;
   }
   void close_idle();
-  Visit* find(VisitId id);
+  ServerExchange* find(ExchangeId id);
   std::size_t count() const {
     return visits_.size();
   }
@@ -127,19 +128,19 @@
   void on_ready(bool is_readable, bool is_writable) override;
 
  private:
-  friend class Visit;
+  friend class ServerExchange;
   Poller& poller_;
-  Schedule& schedule_;
+  TimerQueue& timers_;
   Handler& handler_;
-  std::size_t most_visits_, most_held_;
+  std::size_t max_exchanges_, max_held_;
   std::size_t held_ =
       0;  // invariant: the sum of what the visits hold in their buffers, as last counted
-  VisitLimits limits_;
+  ExchangeLimits limits_;
   bool is_leaving_ = false;
   Listener listener_;
   std::uint64_t last_id_ = 0;
-  std::unordered_map<VisitId, std::unique_ptr<Visit>> visits_;
-  std::vector<std::unique_ptr<Visit>> closed_;
+  std::unordered_map<ExchangeId, std::unique_ptr<ServerExchange>> visits_;
+  std::vector<std::unique_ptr<ServerExchange>> closed_;
 };
 
 }  // namespace saddlewing
--- a/src/transport/wire_link.cpp
+++ b/src/transport/wire_link.cpp
@@ -2,73 +2,73 @@
 
 namespace saddlewing {
 
-bool WireLink::connect(const Address& address) {
-  auto channel = Channel::connect(address);
+bool DatabaseTransport::connect(const Address& address) {
+  auto channel = TcpConnection::connect(address);
   if (!channel)
     return false;
-  channel_ = std::move(*channel);
+  tcp_ = std::move(*channel);
   state_ = State::connecting;
-  poller_.watch(channel_.socket(), Poller::read | Poller::write, *this);
+  poller_.watch(tcp_.socket(), Poller::read | Poller::write, *this);
   return true;
 }
 
-void WireLink::admit(Channel channel) {
-  channel_ = std::move(channel);
+void DatabaseTransport::admit(TcpConnection channel) {
+  tcp_ = std::move(channel);
   state_ = State::open;
-  poller_.watch(channel_.socket(), Poller::read, *this);
+  poller_.watch(tcp_.socket(), Poller::read, *this);
 }
 
-void WireLink::close() {
+void DatabaseTransport::close() {
   if (state_ == State::ended)
     return;
   state_ = State::ended;
-  poller_.leave(channel_.socket());
-  channel_ = Channel();
+  poller_.leave(tcp_.socket());
+  tcp_ = TcpConnection();
 }
 
-void WireLink::end(WireStep step) {
+void DatabaseTransport::end(WireStep step) {
   if (state_ == State::ended)
     return;
   close();
   owner_.on_end(step);
 }
 
-bool WireLink::send(std::string_view bytes) {
+bool DatabaseTransport::send(std::string_view bytes) {
   if (state_ == State::ended)
     return false;
   out_ += bytes;
-  if (out_.size() - sent_ > most_unsent)
+  if (out_.size() - sent_ > max_unsent)
     return false;
   if (state_ == State::open)
     flush();
   return state_ != State::ended;
 }
 
-void WireLink::finish() {
+void DatabaseTransport::finish() {
   is_finishing_ = true;
   if (state_ == State::open && out_.empty())
     end(WireStep::more);
 }
 
-void WireLink::flush() {
+void DatabaseTransport::flush() {
   while (sent_ < out_.size()) {
-    const Transfer gone = channel_.send(out_.data() + sent_, out_.size() - sent_);
+    const Transfer gone = tcp_.send(out_.data() + sent_, out_.size() - sent_);
     if (gone.is_closed)
       return end(WireStep::more);
     if (!gone.count)
-      return poller_.change(channel_.socket(), Poller::write | (is_full_ ? 0 : Poller::read));
+      return poller_.change(tcp_.socket(), Poller::write | (is_full_ ? 0 : Poller::read));
     sent_ += gone.count;
   }
   out_.clear();
   sent_ = 0;
-  poller_.change(channel_.socket(), is_full_ ? 0 : Poller::read);
+  poller_.change(tcp_.socket(), is_full_ ? 0 : Poller::read);
   if (is_finishing_)
     end(WireStep::more);
 }
 
-void WireLink::on_ready(bool is_readable, bool is_writable) {
+void DatabaseTransport::on_ready(bool is_readable, bool is_writable) {
   if (state_ == State::connecting) {
-    if (!channel_.is_connected_well())
+    if (!tcp_.is_connected_well())
       return end(WireStep::more);
     if (!is_writable)
       return;
@@ -81,10 +81,10 @@
     read();
 }
 
-void WireLink::read() {
+void DatabaseTransport::read() {
   static thread_local char bytes[65536];
   for (;;) {
-    const Transfer got = channel_.receive(bytes, sizeof bytes);
+    const Transfer got = tcp_.receive(bytes, sizeof bytes);
     if (got.is_closed)
       return end(WireStep::more);
     if (!got.count)
@@ -92,7 +92,7 @@
     if (is_finishing_)
       continue;
     in_.append(bytes, got.count);
-    if (in_.size() > most_ahead)
+    if (in_.size() > max_ahead)
       break;
     if (got.count < sizeof bytes)
       break;
@@ -100,13 +100,13 @@
   tell();
 }
 
-void WireLink::resume() {
+void DatabaseTransport::resume() {
   is_held_ = false;
   if (state_ == State::open && !in_.empty())
     tell();
 }
 
-void WireLink::tell() {
+void DatabaseTransport::tell() {
   if (is_telling_)
     return;  // whoever is told now goes on when it returns
   is_telling_ = true;
@@ -124,10 +124,10 @@
   is_telling_ = false;
   if (state_ != State::open)
     return;
-  const bool is_full = in_.size() > most_ahead;
+  const bool is_full = in_.size() > max_ahead;
   if (is_full != is_full_) {
     is_full_ = is_full;
-    poller_.change(channel_.socket(),
+    poller_.change(tcp_.socket(),
                    (is_full_ ? 0 : Poller::read) | (out_.empty() ? 0 : Poller::write));
   }
 }
--- a/src/transport/wire_link.h
+++ b/src/transport/wire_link.h
@@ -9,19 +9,19 @@
 namespace saddlewing {
 
 // Its way: Connecting -> Open -> Ended. Invariant: after Ended nothing is told any more.
-class WireLink final : public Watcher {
+class DatabaseTransport final : public Watcher {
  public:
   struct Owner {
     std::function<bool(WireMessage&&)> on_message;  // false: no more for now; `resume` goes on
     std::function<void(WireStep)> on_end;  // more: the peer ended it; else what could not be read
   };
-  WireLink(Poller& poller, Owner owner) : poller_(poller), owner_(std::move(owner)) {
+  DatabaseTransport(Poller& poller, Owner owner) : poller_(poller), owner_(std::move(owner)) {
   }
-  ~WireLink() override {
+  ~DatabaseTransport() override {
     close();
   }
   bool connect(const Address& address);
-  void admit(Channel channel);
+  void admit(TcpConnection channel);
 
   bool send(std::string_view bytes);  // false: the connection is gone
   void close();
@@ -31,7 +31,7 @@
     return state_ == State::ended;
   }
   bool has_room() const {
-    return out_.size() - sent_ < most_unsent;
+    return out_.size() - sent_ < max_unsent;
   }
   void on_ready(bool is_readable, bool is_writable) override;
 
@@ -45,11 +45,11 @@
   void flush();
   void tell();
   void end(WireStep step);
-  static constexpr std::size_t most_unsent = 8u << 20, most_ahead = longest_message + 65536;
+  static constexpr std::size_t max_unsent = 8u << 20, max_ahead = max_message_bytes + 65536;
 
   Poller& poller_;
   Owner owner_;
-  Channel channel_;
+  TcpConnection tcp_;
   State state_ = State::ended;
   std::string in_, out_;
   std::size_t sent_ = 0;
--- a/tests/agreement_test.cpp
+++ b/tests/agreement_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 bool is_member(Cluster& cluster, MemberId id) {
-  const auto& members = cluster.at(cluster.leader()).agreement->committed()->members;
+  const auto& members = cluster.at(cluster.leader()).raft->committed()->members;
   return std::any_of(members.begin(), members.end(),
                      [&](const Member& member) { return member.id == id; });
 }
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-Test(agreement, elects_one_leader_and_commits_everywhere) {
+Test(raft, elects_one_leader_and_commits_everywhere) {
   Cluster cluster(3);
   cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
   const std::string leader = cluster.leader();
@@ -33,7 +33,7 @@
     cr_expect(cluster.body_at(address) == "seven");
 }
 
-Test(agreement, an_older_version_is_acknowledged_and_changes_nothing) {
+Test(raft, an_older_version_is_acknowledged_and_changes_nothing) {
   Cluster cluster(3);
   cluster.run_until([&] { return cluster.has_leader(); });
   const std::string leader = cluster.leader();
@@ -46,7 +46,7 @@
     cr_expect(cluster.body_at(address) == "seven");
 }
 
-Test(agreement, nothing_is_acknowledged_before_a_majority_synced_it) {
+Test(raft, nothing_is_acknowledged_before_a_majority_synced_it) {
   Cluster cluster(3);
   cluster.run_until([&] { return cluster.has_leader(); });
   const std::string leader = cluster.leader();
@@ -62,7 +62,7 @@
       [&] { return cluster.has_leader() && cluster.body_at(cluster.leader()) == "two"; }));
 }
 
-Test(agreement, what_was_acknowledged_survives_the_leader_and_its_disk) {
+Test(raft, what_was_acknowledged_survives_the_leader_and_its_disk) {
   Cluster cluster(3);
   cluster.run_until([&] { return cluster.has_leader(); });
   const std::string leader = cluster.leader();
@@ -74,17 +74,17 @@
       [&] { return cluster.has_leader() && cluster.body_at(cluster.leader()) == "nine"; }));
 }
 
-Test(agreement, a_wiped_member_comes_back_under_a_fresh_id) {
+Test(raft, a_wiped_member_comes_back_under_a_fresh_id) {
   Cluster cluster(3);
   cluster.run_until([&] { return cluster.has_leader(); });
   const std::string wiped = other_than(cluster, cluster.leader());
-  const MemberId former = cluster.at(wiped).disk.self;
+  const MemberId outgoing = cluster.at(wiped).disk.self;
   cluster.wipe(wiped);
   cluster.run(3500ms);
   cluster.start(wiped);
   cr_assert(cluster.run_until(
       [&] {
-        return is_member(cluster, cluster.at(wiped).disk.self) && !is_member(cluster, former);
+        return is_member(cluster, cluster.at(wiped).disk.self) && !is_member(cluster, outgoing);
       },
       3000ms));
   // The third may now be lost as well.
@@ -100,7 +100,7 @@
   cr_expect(cluster.run_until([&] { return cluster.is_done(leader, token); }));
 }
 
-Test(agreement, a_wiped_member_comes_back_though_its_asking_to_join_is_lost) {
+Test(raft, a_wiped_member_comes_back_though_its_asking_to_join_is_lost) {
   Cluster cluster(3);
   cluster.run_until([&] { return cluster.has_leader(); });
   const std::string wiped = other_than(cluster, cluster.leader());
@@ -113,36 +113,37 @@
       cluster.run_until([&] { return is_member(cluster, cluster.at(wiped).disk.self); }, 3000ms));
 }
 
-Test(agreement, a_machine_elsewhere_takes_the_place_of_a_silent_one) {
+Test(raft, a_machine_elsewhere_takes_the_place_of_a_silent_one) {
   Cluster cluster(3);
   cluster.run_until([&] { return cluster.has_leader(); });
   const std::string lost = cluster.leader();
-  const MemberId former = cluster.at(lost).disk.self;
+  const MemberId outgoing = cluster.at(lost).disk.self;
   cluster.stop(lost);
   cluster.run_until([&] { return cluster.has_leader(); });
   cluster.start("10.0.0.9:7");
   cr_assert(cluster.run_until([&] {
     return cluster.has_leader() && is_member(cluster, cluster.at("10.0.0.9:7").disk.self) &&
-           !is_member(cluster, former);
+           !is_member(cluster, outgoing);
   }));
 }
 
-Test(agreement, a_member_that_was_replaced_while_cut_off_does_not_disturb) {
+Test(raft, a_member_that_was_replaced_while_cut_off_does_not_disturb) {
   Cluster cluster(3);
   cluster.run_until([&] { return cluster.has_leader(); });
   const std::string away = other_than(cluster, cluster.leader());
-  const MemberId former = cluster.at(away).disk.self;
+  const MemberId outgoing = cluster.at(away).disk.self;
   cluster.cut(away);
   cluster.run(4000ms);
   cluster.start("10.0.0.9:7");
-  cr_assert(cluster.run_until([&] { return cluster.has_leader() && !is_member(cluster, former); }));
-  const Term term = cluster.at(cluster.leader()).agreement->term();
+  cr_assert(
+      cluster.run_until([&] { return cluster.has_leader() && !is_member(cluster, outgoing); }));
+  const Term term = cluster.at(cluster.leader()).raft->term();
   cluster.heal();
   cluster.run(5000ms);
-  cr_expect(cluster.at(cluster.leader()).agreement->term() == term);
+  cr_expect(cluster.at(cluster.leader()).raft->term() == term);
 }
 
-Test(agreement, a_leader_with_a_stuck_disk_gives_the_lead_away) {
+Test(raft, a_leader_with_a_stuck_disk_gives_the_lead_away) {
   Cluster cluster(3);
   cluster.run_until([&] { return cluster.has_leader(); });
   const std::string leader = cluster.leader();
@@ -155,7 +156,7 @@
   cr_expect(cluster.run_until([&] { return cluster.is_done(next, token); }));
 }
 
-Test(agreement, a_minority_neither_commits_nor_confirms) {
+Test(raft, a_minority_neither_commits_nor_confirms) {
   Cluster cluster(3);
   cluster.run_until([&] { return cluster.has_leader(); });
   const std::string leader = cluster.leader();
@@ -163,43 +164,43 @@
   const std::uint64_t token = cluster.propose(5, "five");
   cluster.run(4000ms);
   cr_expect(!cluster.is_done(leader, token));
-  cr_expect(!cluster.at(leader).agreement->is_confirmed(cluster.now()));
+  cr_expect(!cluster.at(leader).raft->is_confirmed(cluster.now()));
   cr_expect(cluster.has_leader() && cluster.leader() != leader);
 }
 
-Test(agreement, a_read_is_confirmed_by_a_majority_or_fails) {
+Test(raft, a_read_is_confirmed_by_a_majority_or_fails) {
   Cluster cluster(3);
   cluster.run_until([&] { return cluster.has_leader(); });
   const std::string leader = cluster.leader();
   cluster.propose(5, "five");
   cluster.run(200ms);
-  cluster.at(leader).agreement->confirm_read(900, cluster.now());
+  cluster.at(leader).raft->read_index(900, cluster.now());
   cr_assert(cluster.run_until([&] { return cluster.is_done(leader, 900); }));
   cr_expect(cluster.at(leader).results[900].state->body == "five");
   cluster.cut(leader);
-  cluster.at(leader).agreement->confirm_read(901, cluster.now());
+  cluster.at(leader).raft->read_index(901, cluster.now());
   cluster.run(4000ms);
-  cr_expect(cluster.at(leader).results[901].verdict == Agreement::Verdict::failed);
+  cr_expect(cluster.at(leader).results[901].verdict == RaftNode::Verdict::failed);
 }
 
-Test(agreement, handing_over_takes_less_than_an_election) {
+Test(raft, handing_over_takes_less_than_an_election) {
   Cluster cluster(3);
   cluster.run_until([&] { return cluster.has_leader(); });
   const std::string leader = cluster.leader();
-  cluster.at(leader).agreement->transfer(cluster.now());
+  cluster.at(leader).raft->transfer(cluster.now());
   cluster.flush(cluster.at(leader));
   cr_expect(
       cluster.run_until([&] { return cluster.has_leader() && cluster.leader() != leader; }, 300ms));
 }
 
-Test(agreement, a_core_of_one_and_a_core_of_five_agree_as_well) {
+Test(raft, a_core_of_one_and_a_core_of_five_agree_as_well) {
   for (const std::size_t count : {std::size_t{1}, std::size_t{5}}) {
     Cluster cluster(count);
     cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
     const std::string leader = cluster.leader();
     for (std::size_t stopped = 0; stopped < count / 2; ++stopped)
       for (const std::string& address : cluster.founders())
-        if (address != leader && cluster.at(address).agreement) {
+        if (address != leader && cluster.at(address).raft) {
           cluster.stop(address);
           break;
         }
@@ -210,13 +211,13 @@
 
 // All processes end at once, wherever a change stands; whatever was acknowledged is there when they
 // are back.
-Test(agreement, an_acknowledged_change_survives_the_end_of_all_at_any_moment) {
+Test(raft, an_acknowledged_change_survives_the_end_of_all_at_any_moment) {
   for (int moment = 0; moment < 40; ++moment) {
     Cluster cluster(3);
     cluster.run_until([&] { return cluster.has_leader(); });
     const std::string leader = cluster.leader();
     const std::uint64_t token = cluster.propose(6, "six");
-    cluster.run(Span(5 * moment));
+    cluster.run(Duration(5 * moment));
     const bool was_done = cluster.is_done(leader, token);
     for (const std::string& address : cluster.founders())
       cluster.stop(address);
@@ -228,18 +229,18 @@
   }
 }
 
-Test(agreement, a_leader_is_found_over_long_ways) {
+Test(raft, a_leader_is_found_over_long_ways) {
   Cluster cluster(3);
-  cluster.way = Span(150);
+  cluster.way = Duration(150);
   cr_assert(cluster.run_until([&] { return cluster.has_leader(); }, 20000ms));
-  const Term term = cluster.at(cluster.leader()).agreement->term();
+  const Term term = cluster.at(cluster.leader()).raft->term();
   cluster.run(5000ms);
-  cr_expect(cluster.at(cluster.leader()).agreement->term() == term, "and it stays");
+  cr_expect(cluster.at(cluster.leader()).raft->term() == term, "and it stays");
 }
 
 // Every outgoing of a change is lost once, each in turn: the change still comes through, and
 // everywhere the same.
-Test(agreement, any_one_letter_may_be_lost) {
+Test(raft, any_one_letter_may_be_lost) {
   for (std::uint64_t lost = 1; lost <= 40; ++lost) {
     Cluster cluster(3);
     cluster.run_until([&] { return cluster.has_leader(); });
--- a/tests/alerts_test.cpp
+++ b/tests/alerts_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Moment start = Moment{} + 1000s;
+constexpr TimePoint start = TimePoint{} + 1000s;
 
 std::string file(const std::string& rule) {
   return "groups:\n- name: g\n  rules:\n  - " + rule;
@@ -23,16 +23,16 @@
       rules));
   Alerts alerts;
   alerts.replace(rules);
-  double errands = 10;
+  double proxied_requests = 10;
   const auto value = [&](Metric metric) {
-    return metric == Metric::errands ? errands : 0;
+    return metric == Metric::proxied_requests ? proxied_requests : 0;
   };
   cr_expect(alerts.evaluate(value, start).empty());
   cr_expect(alerts.evaluate(value, start + 1s).empty() && alerts.refuse_from() > 1000);
   const std::vector<std::string> fires{"Busy fires"}, ceased{"Busy ceased"};
   cr_expect(alerts.evaluate(value, start + 2s) == fires);
   cr_expect(alerts.refuse_from() == 2);
-  errands = 9;
+  proxied_requests = 9;
   cr_expect(alerts.evaluate(value, start + 3s) == ceased);
   cr_expect(alerts.refuse_from() > 1000);
 }
@@ -75,5 +75,5 @@
     cr_expect(rules.size() == 3);
   }
   std::vector<AlertRule> rules;
-  cr_expect(read_alert_rules("a: [", rules).code == Kind::unreadable);
+  cr_expect(read_alert_rules("a: [", rules).code == ErrorCode::unreadable);
 }
--- a/tests/asking_log.h
+++ b/tests/asking_log.h
@@ -12,9 +12,9 @@
 namespace saddlewing::tests {
 
 // The askings of a broker, as it logs them.
-class AskingLog final : public google::LogSink {
+class AttemptLog final : public google::LogSink {
  public:
-  struct Asking {
+  struct Attempt {
     std::string try_id, backend,
         before;  // before: whose asking was the last one over this connection
     int port = 0;
@@ -25,7 +25,7 @@
              (has_broken_down ? has_sent ? " broke down" : " not sent" : "");
     }
   };
-  AskingLog() {
+  AttemptLog() {
     google::InitGoogleLogging("saddlewing_tests");
     for (int severity = 0; severity < google::NUM_SEVERITIES; ++severity)
       google::SetLogDestination(severity, "");
@@ -33,7 +33,7 @@
     FLAGS_v = 1;
     google::AddLogSink(this);
   }
-  ~AskingLog() override {
+  ~AttemptLog() override {
     google::RemoveLogSink(this);
   }
   void send(google::LogSeverity, const char*, const char*, int, const struct ::tm*,
@@ -45,29 +45,30 @@
     std::smatch parts;
     const std::lock_guard lock(mutex_);
     if (std::regex_match(line, parts, asked)) {
-      Asking asking{parts[1], parts[2], {}, std::stoi(parts[3]), parts[5] == "reused", false, true};
+      Attempt attempting{parts[1], parts[2], {}, std::stoi(parts[3]), parts[5] == "reused",
+                         false,    true};
       std::size_t& last = last_over_.try_emplace(parts[4], SIZE_MAX).first->second;
       if (last != SIZE_MAX)
-        asking.before = askings_[last].try_id;
-      last = askings_.size();
-      askings_.push_back(asking);
+        attempting.before = attempts_[last].try_id;
+      last = attempts_.size();
+      attempts_.push_back(attempting);
     } else if (std::regex_match(line, parts, broke)) {
-      Asking& asking = askings_[last_over_.at(parts[2])];
-      asking.has_broken_down = true;
-      asking.has_sent = parts[3] == "sent";
+      Attempt& attempting = attempts_[last_over_.at(parts[2])];
+      attempting.has_broken_down = true;
+      attempting.has_sent = parts[3] == "sent";
     }
   }
-  std::vector<Asking> of(const std::string& try_id) const {
+  std::vector<Attempt> of(const std::string& try_id) const {
     const std::lock_guard lock(mutex_);
-    std::vector<Asking> found;
-    std::ranges::copy_if(askings_, std::back_inserter(found),
-                         [&](const Asking& asking) { return asking.try_id == try_id; });
+    std::vector<Attempt> found;
+    std::ranges::copy_if(attempts_, std::back_inserter(found),
+                         [&](const Attempt& attempting) { return attempting.try_id == try_id; });
     return found;
   }
 
  private:
   mutable std::mutex mutex_;
-  std::vector<Asking> askings_;
+  std::vector<Attempt> attempts_;
   std::map<std::string, std::size_t> last_over_;  // by connection
 };
 
--- a/tests/bulkhead_test.cpp
+++ b/tests/bulkhead_test.cpp
@@ -13,7 +13,7 @@
   for (const char* zone : {"near", "other"}) {
     auto backend = std::make_shared<Backend>();
     backend->id = zone;
-    backend->locality = zone;
+    backend->zone = zone;
     backend->region = "here";
     backend->status = Status::up;
     backend->capacity = 2;
@@ -76,7 +76,7 @@
 }
 
 Test(bulkhead, turns_go_by_rank_then_by_weight_and_deadline) {
-  TurnQueue<int> queue(5, 2);
+  FairQueue<int> queue(5, 2);
   queue.push(1, 1, true, start + 1s);
   queue.push(2, 1, false, start + 9s);
   queue.push(3, 1, false, start + 2s);
@@ -90,7 +90,7 @@
   while (queue.pop(next))
     turns.push_back(next);
   cr_expect(turns == std::vector<int>({7, 5, 3, 4, 2}));
-  TurnQueue<int> weighted(10, 2);
+  FairQueue<int> weighted(10, 2);
   for (int light = 1; light <= 5; ++light)
     weighted.push(light, 0, false, start + light * 1s);
   weighted.push(8, 0, true, start), weighted.push(9, 0, true, start + 1s);
@@ -101,28 +101,28 @@
 }
 
 Test(bulkhead, an_errand_that_must_wait_is_called_when_its_turn_comes) {
-  Stage stage(single);
-  for (const auto& backend : stage.errand->table().by_service[0])
+  RequestFixture stage(single);
+  for (const auto& backend : stage.request->table().by_service[0])
     backend->capacity = 2, backend->asked = 2, backend->heavy_asked = 1,
     backend->short_asked = start;
   stage.own_wish.is_heavy = true;
   stage.own_wish.short_work = 5ms;
   stage.has_turns = true;
-  stage.errand->start(start);
+  stage.request->start(start);
   cr_expect(stage.asked.empty() && stage.turns_wanted == 1 &&
-                stage.errand->next_due() == stage.errand->deadline(),
+                stage.request->next_due() == stage.request->deadline(),
             "no polling meanwhile");
-  for (const auto& backend : stage.errand->table().by_service[0])
+  for (const auto& backend : stage.request->table().by_service[0])
     backend->asked = backend->heavy_asked = 0;
-  stage.errand->on_turn(start + 20ms);
+  stage.request->on_turn(start + 20ms);
   cr_expect(stage.asked.size() == 1);
-  stage.take(0, Stage::good("a"), start + 40ms);
+  stage.take(0, RequestFixture::good("a"), start + 40ms);
   cr_expect(stage.answers == 1 && stage.status() == 200);
 }
 
 Test(pick, the_shared_view_orders_and_never_forbids) {
   auto backends = two_edges();
-  Picker picker({"near", "here"}, 1);
+  LoadBalancer picker({"near", "here"}, 1);
   cr_expect(picker.pick(backends, {}, 10, start).backend->id == "near");
   backends[0]->is_avoided = true;
   cr_expect(picker.pick(backends, {}, 10, start).backend->id == "other");
@@ -135,7 +135,7 @@
             "a view that faded out is none");
   picker.set_influence(1);
   backends[0]->is_trying = true;
-  PickWish wish;
+  PickConstraints wish;
   cr_expect(picker.pick(backends, {}, 10, start + 1s, wish).backend->id == "other",
             "risky ones and those in haste never try it");
   wish.may_try = true;
@@ -152,25 +152,25 @@
 
 Test(pick, large_answers_cross_zones_less_readily_than_small_ones) {
   auto backends = two_edges();
-  Picker picker({"near", "here"}, 1);
+  LoadBalancer picker({"near", "here"}, 1);
   for (int count = 0; count < 50; ++count)
-    backends[0]->see_outcome(20, 13000), backends[1]->see_outcome(11, 13000);
+    backends[0]->record_response(20, 13000), backends[1]->record_response(11, 13000);
   cr_expect(picker.pick(backends, {}, 10, start).backend->id == "near");
   for (int count = 0; count < 50; ++count)
-    backends[1]->see_outcome(11, 300);
+    backends[1]->record_response(11, 300);
   cr_expect(picker.pick(backends, {}, 10, start).backend->id == "other");
 }
 
-Test(errand, may_start_anew_only_while_nothing_risky_has_run_and_the_allowance_covers_it) {
-  Stage harmless(single), once(risky), poor(single);
-  for (Stage* stage : {&harmless, &once, &poor})
-    stage->errand->start(start);
+Test(request, may_start_anew_only_while_nothing_risky_has_run_and_the_allowance_covers_it) {
+  RequestFixture harmless(single), once(risky), poor(single);
+  for (RequestFixture* stage : {&harmless, &once, &poor})
+    stage->request->start(start);
   cr_expect(
-      harmless.errand->may_restart(0, start + 10ms) && once.errand->may_restart(0, start + 10ms),
+      harmless.request->may_restart(0, start + 10ms) && once.request->may_restart(0, start + 10ms),
       "the asking turned away is all there is");
   poor.extra_reserve = 0;
-  cr_expect(!poor.errand->may_restart(0, start + 10ms), "no allowance");
-  cr_expect(!harmless.errand->may_restart(0, start + 990ms), "too late");
-  once.take(0, Stage::good("a"));
-  cr_expect(!once.errand->may_restart(0, start + 30ms), "it is over");
+  cr_expect(!poor.request->may_restart(0, start + 10ms), "no allowance");
+  cr_expect(!harmless.request->may_restart(0, start + 990ms), "too late");
+  once.take(0, RequestFixture::good("a"));
+  cr_expect(!once.request->may_restart(0, start + 30ms), "it is over");
 }
--- a/tests/caller_test.cpp
+++ b/tests/caller_test.cpp
@@ -15,21 +15,21 @@
 namespace {
 
 // A caller alone, with the far end of its connection in hand.
-class CallerStage : public CallOwner {
+class ClientConnectionFixture : public HttpCallObserver {
  public:
-  CallerStage() {
+  ClientConnectionFixture() {
     for (int port = 45000 + ::getpid() % 4000; !listener_.is_open() && port < 60000; ++port)
       if (!listener_.open({"127.0.0.1", port}))
         address_ = {"127.0.0.1", port};
-    caller = std::make_unique<Caller>(poller, *this, address_, 65536, 1 << 20);
+    caller = std::make_unique<HttpClientConnection>(poller, *this, address_, 65536, 1 << 20);
   }
-  void on_outcome(Caller&, Moment) override {
+  void on_response(HttpClientConnection&, TimePoint) override {
     ++outcomes;
   }
-  void on_breakdown(Caller&, Kind kind, Moment) override {
-    breakdown = kind;
+  void on_failure(HttpClientConnection&, ErrorCode kind, TimePoint) override {
+    failure = kind;
   }
-  void on_idle_end(Caller&) override {
+  void on_idle_end(HttpClientConnection&) override {
     ++idle_ends;
   }
   void admit() {
@@ -37,7 +37,7 @@
       far = listener_.admit();
   }
   void poll() {
-    poller.poll(Span(50));
+    poller.poll(Duration(50));
   }  // sooner, as soon as there is something
   void say(const std::string& bytes) {
     cr_assert(far->send(bytes.data(), bytes.size()).count == bytes.size());
@@ -45,11 +45,11 @@
   }
   template <class Reached>
   bool reaches(Reached reached) {
-    for (const Moment until = Clock::now() + 5s; !reached() && Clock::now() < until;)
+    for (const TimePoint until = Clock::now() + 5s; !reached() && Clock::now() < until;)
       poll();
     return reached();
   }
-  std::string heard() {
+  std::string last_contact() {
     char bytes[4096];
     const Transfer got = far->receive(bytes, sizeof bytes);
     return std::string(bytes, got.count);
@@ -58,17 +58,17 @@
   void greet() {
     caller->ask("GET /1 HTTP/1.1\r\n\r\n", false, "1");
     admit();
-    while (caller->state() == Caller::State::connecting || heard().empty())
+    while (caller->state() == HttpClientConnection::State::connecting || last_contact().empty())
       poll();
     say(good_answer("1", "b"));
-    cr_assert(outcomes == 1 && caller->state() == Caller::State::idle);
+    cr_assert(outcomes == 1 && caller->state() == HttpClientConnection::State::idle);
   }
 
   Poller poller;
-  std::unique_ptr<Caller> caller;
-  std::optional<Channel> far;
+  std::unique_ptr<HttpClientConnection> caller;
+  std::optional<TcpConnection> far;
   int outcomes = 0, idle_ends = 0;
-  Kind breakdown = Kind::none;
+  ErrorCode failure = ErrorCode::none;
 
  private:
   Listener listener_;
@@ -81,41 +81,41 @@
   const std::string surplus = good_answer("1", "b") + good_answer("0", "b"),
                     all = surplus + good_answer("2", "b");
   for (std::size_t cut = 0; cut <= all.size(); ++cut) {
-    CallerStage stage;
+    ClientConnectionFixture stage;
     stage.greet();
     stage.caller->ask("GET /2 HTTP/1.1\r\n\r\n", false, "2");
     if (cut)
       stage.say(all.substr(0, cut));
-    cr_expect(stage.breakdown == Kind::none, "cut at %zu", cut);
+    cr_expect(stage.failure == ErrorCode::none, "cut at %zu", cut);
     if (cut < all.size())
       stage.say(all.substr(cut));
     cr_assert(stage.reaches([&] { return stage.outcomes == 2; }), "cut at %zu", cut);
     cr_expect(stage.outcomes == 2 && stage.caller->reader().response().get("Try-Id") == "2" &&
                   stage.caller->reader().body() == "to 2 by b",
               "cut at %zu", cut);
-    cr_expect(stage.caller->state() == Caller::State::ended, "it is not used again");
+    cr_expect(stage.caller->state() == HttpClientConnection::State::ended, "it is not used again");
   }
 }
 
 Test(caller, an_answer_to_head_has_no_body_behind_a_surplus_one_either) {
-  CallerStage stage;
+  ClientConnectionFixture stage;
   stage.greet();
   stage.caller->ask("HEAD /2 HTTP/1.1\r\n\r\n", true, "2");
   stage.say(
       "HTTP/1.1 200 OK\r\nTry-Id: 1\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nTry-Id: "
       "2\r\nContent-Length: 500\r\n\r\n");
-  cr_expect(stage.reaches([&] { return stage.outcomes == 2; }) && stage.breakdown == Kind::none);
+  cr_expect(stage.reaches([&] { return stage.outcomes == 2; }) && stage.failure == ErrorCode::none);
 }
 
 // A cut answer and the next one run together: it is nobody's, and nothing more is waited for.
 Test(caller, an_answer_that_bears_two_ids_is_none) {
   for (const char* first : {"1", "2"}) {
-    CallerStage stage;
+    ClientConnectionFixture stage;
     stage.greet();
     stage.caller->ask("GET /2 HTTP/1.1\r\n\r\n", false, "2");
     stage.say("HTTP/1.1 200 OK\r\nTry-Id: " + std::string(first) + "\r\n" +
               good_answer("2", "b").substr(17));
-    cr_expect(stage.reaches([&] { return stage.breakdown == Kind::garbled; }) &&
+    cr_expect(stage.reaches([&] { return stage.failure == ErrorCode::garbled; }) &&
               stage.outcomes == 1);
   }
 }
@@ -123,7 +123,7 @@
 // A process that stood still finds an end or stray bytes only when it looks.
 Test(caller, a_resting_connection_that_ended_or_spoke_is_not_quiet) {
   for (const int kind : {0, 1, 2}) {
-    CallerStage stage;
+    ClientConnectionFixture stage;
     stage.greet();
     cr_expect(stage.caller->is_quiet());
     if (kind == 0)
@@ -135,7 +135,7 @@
       stage.far.reset();
     }
     bool is_quiet = true;
-    for (const Moment until = Clock::now() + 5s; is_quiet && Clock::now() < until;)
+    for (const TimePoint until = Clock::now() + 5s; is_quiet && Clock::now() < until;)
       is_quiet = stage.caller->is_quiet();
     cr_expect(!is_quiet, "kind %d", kind);
   }
@@ -144,10 +144,10 @@
 // Held up while connecting, by a lost packet or by standing still: what may leave only until then
 // does not leave later.
 Test(caller, nothing_leaves_after_its_latest_moment) {
-  CallerStage stage;
+  ClientConnectionFixture stage;
   cr_assert(stage.caller->ask("POST /raise HTTP/1.1\r\n\r\n", false, {}, Clock::now() - 1ms));
   stage.admit();
-  cr_assert(stage.reaches([&] { return stage.breakdown != Kind::none; }));
-  cr_expect(stage.breakdown == Kind::deadline_reached && !stage.caller->has_sent() &&
-            stage.heard().empty());
+  cr_assert(stage.reaches([&] { return stage.failure != ErrorCode::none; }));
+  cr_expect(stage.failure == ErrorCode::deadline_reached && !stage.caller->has_sent() &&
+            stage.last_contact().empty());
 }
--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr Moment start = Moment{} + 1000s;
+constexpr TimePoint start = TimePoint{} + 1000s;
 
 Json::Value told(const Entry& committed, std::int64_t version, const std::string& body) {
   Json::Value value;
@@ -24,29 +24,29 @@
 }
 
 // What the leader would answer to a call just as it was sent.
-Forwarded answer_to(CallTable& leader, const Forward& forward, LifeId asker, Term term,
-                    const std::string& body) {
-  const std::uint64_t token = leader.add(forward, "asker:1", asker, start + 1s);
-  return CallTable::answer(*leader.remove(token), true, term, body);
+ForwardedReply answer_to(PendingCalls& leader, const ForwardedCall& forward,
+                         IncarnationId requester, Term term, const std::string& body) {
+  const std::uint64_t token = leader.add(forward, "asker:1", requester, start + 1s);
+  return PendingCalls::answer(*leader.remove(token), true, term, body);
 }
 
 }  // namespace
 
 Test(calls, an_answer_is_believed_only_if_it_names_what_was_asked) {
-  CallTable asker(LifeId{11}), leader(LifeId{22});
-  const std::uint64_t change = asker.add(false, Version{7}, "seven", 1, start + 1s);
-  const std::uint64_t read = asker.add(true, {}, {}, 2, start + 1s);
-  const Forwarded good =
-      answer_to(leader, asker.send(change, "leader:1", Term{4}), LifeId{11}, Term{4}, "{}");
-  const Forwarded good_read =
-      answer_to(leader, asker.send(read, "leader:1", Term{4}), LifeId{11}, Term{4}, "seven");
-  const auto is_passed_over = [&](Forwarded answer, const std::string& from = "leader:1") {
-    return asker.take(answer, from) == 0 && asker.find(change) && asker.find(read) &&
-           !asker.find(change)->sent_to.empty() && !asker.find(read)->sent_to.empty();
+  PendingCalls requester(IncarnationId{11}), leader(IncarnationId{22});
+  const std::uint64_t change = requester.add(false, Version{7}, "seven", 1, start + 1s);
+  const std::uint64_t read = requester.add(true, {}, {}, 2, start + 1s);
+  const ForwardedReply good = answer_to(leader, requester.send(change, "leader:1", Term{4}),
+                                        IncarnationId{11}, Term{4}, "{}");
+  const ForwardedReply good_read = answer_to(leader, requester.send(read, "leader:1", Term{4}),
+                                             IncarnationId{11}, Term{4}, "seven");
+  const auto is_passed_over = [&](ForwardedReply answer, const std::string& from = "leader:1") {
+    return requester.take(answer, from) == 0 && requester.find(change) && requester.find(read) &&
+           !requester.find(change)->sent_to.empty() && !requester.find(read)->sent_to.empty();
   };
   cr_expect(is_passed_over(good, "other:1"), "another registry");
-  Forwarded wrong = good;
-  wrong.asker = LifeId{10};
+  ForwardedReply wrong = good;
+  wrong.requester = IncarnationId{10};
   cr_expect(is_passed_over(wrong), "another life of this one");
   wrong = good, wrong.token = 99;
   cr_expect(is_passed_over(wrong), "a call that isn't there");
@@ -58,69 +58,71 @@
   cr_expect(is_passed_over(wrong), "another version");
   wrong = good, wrong.digest ^= 1;
   cr_expect(is_passed_over(wrong), "another body under that version");
-  wrong = good, wrong.is_done = false, wrong.asker = LifeId{10};
+  wrong = good, wrong.is_done = false, wrong.requester = IncarnationId{10};
   cr_expect(is_passed_over(wrong), "a refusal of another life does not send it again either");
   wrong = good_read, wrong.term = Term{3};
   cr_expect(is_passed_over(wrong),
             "a read confirmed in a lower term than was known when it was asked");
-  cr_expect(asker.take(good, "leader:1") == change && asker.take(good_read, "leader:1") == read);
+  cr_expect(requester.take(good, "leader:1") == change &&
+            requester.take(good_read, "leader:1") == read);
 }
 
 // Tokens begin at 1 in each life: the order of the former one is answered at the same address.
 Test(calls, the_answer_to_a_former_life_confirms_nothing) {
-  CallTable former(LifeId{11}), leader(LifeId{22}), present(LifeId{12});
-  const Forward order =
-      former.send(former.add(false, Version{7}, "seven", 1, start + 1s), "leader:1", Term{4});
-  const Forward same =
+  PendingCalls outgoing(IncarnationId{11}), leader(IncarnationId{22}), present(IncarnationId{12});
+  const ForwardedCall order =
+      outgoing.send(outgoing.add(false, Version{7}, "seven", 1, start + 1s), "leader:1", Term{4});
+  const ForwardedCall same =
       present.send(present.add(false, Version{7}, "seven", 1, start + 1s), "leader:1", Term{4});
   cr_assert(order.token == same.token);
-  cr_expect(present.take(answer_to(leader, order, LifeId{11}, Term{4}, "{}"), "leader:1") == 0);
-  cr_expect(present.take(answer_to(leader, same, LifeId{12}, Term{4}, "{}"), "leader:1") ==
+  cr_expect(present.take(answer_to(leader, order, IncarnationId{11}, Term{4}, "{}"), "leader:1") ==
+            0);
+  cr_expect(present.take(answer_to(leader, same, IncarnationId{12}, Term{4}, "{}"), "leader:1") ==
             same.token);
 }
 
 Test(calls, a_call_that_was_not_done_is_asked_again) {
-  CallTable asker(LifeId{11}), leader(LifeId{22});
-  const std::uint64_t token = asker.add(false, Version{7}, "seven", 1, start + 1s);
-  Forwarded refusal =
-      answer_to(leader, asker.send(token, "leader:1", Term{4}), LifeId{11}, Term{4}, "");
+  PendingCalls requester(IncarnationId{11}), leader(IncarnationId{22});
+  const std::uint64_t token = requester.add(false, Version{7}, "seven", 1, start + 1s);
+  ForwardedReply refusal =
+      answer_to(leader, requester.send(token, "leader:1", Term{4}), IncarnationId{11}, Term{4}, "");
   refusal.is_done = false;
-  cr_expect(asker.take(refusal, "leader:1") == token && asker.find(token)->sent_to.empty());
-  asker.send(token, "next:1", Term{5});
-  cr_expect(asker.take(refusal, "leader:1") == 0 && asker.find(token)->sent_to == "next:1",
+  cr_expect(requester.take(refusal, "leader:1") == token && requester.find(token)->sent_to.empty());
+  requester.send(token, "next:1", Term{5});
+  cr_expect(requester.take(refusal, "leader:1") == 0 && requester.find(token)->sent_to == "next:1",
             "late, it takes nothing from the next");
 }
 
 Test(calls, frames_carry_all_of_it) {
-  const FrameHead head{FrameKind::raft, LifeId{11}, "a:1"};
-  Forwarded answer{5, LifeId{11}, true, Version{7}, 99, Term{4}, true, "body"}, read;
+  const FrameHead head{FrameKind::raft, IncarnationId{11}, "a:1"};
+  ForwardedReply answer{5, IncarnationId{11}, true, Version{7}, 99, Term{4}, true, "body"}, read;
   const std::string bytes = encode(head, answer);
   ByteReader reader(bytes);
   FrameHead seen;
   cr_assert(decode_head(reader, seen) && seen.kind == FrameKind::forwarded && decode(reader, read));
-  cr_expect(read.token == 5 && read.asker == LifeId{11} && read.is_read &&
+  cr_expect(read.token == 5 && read.requester == IncarnationId{11} && read.is_read &&
             read.version == Version{7} && read.digest == 99 && read.term == Term{4} &&
             read.is_done && read.body == "body");
-  Beat beat, heard;
-  beat.term = Term{4};
-  beat.asker = LifeId{11};
-  beat.token = 6;
-  beat.hold = 3000;
-  const std::string beat_bytes = encode(head, beat);
-  ByteReader beat_reader(beat_bytes);
-  cr_assert(decode_head(beat_reader, seen) && decode(beat_reader, heard));
-  cr_expect(heard.term == Term{4} && heard.asker == LifeId{11} && heard.token == 6 &&
-            heard.hold == 3000);
-  Follow follow, followed;
+  ControlHeartbeat heartbeat, last_contact;
+  heartbeat.term = Term{4};
+  heartbeat.requester = IncarnationId{11};
+  heartbeat.token = 6;
+  heartbeat.lease = 3000;
+  const std::string heartbeat_bytes = encode(head, heartbeat);
+  ByteReader heartbeat_reader(heartbeat_bytes);
+  cr_assert(decode_head(heartbeat_reader, seen) && decode(heartbeat_reader, last_contact));
+  cr_expect(last_contact.term == Term{4} && last_contact.requester == IncarnationId{11} &&
+            last_contact.token == 6 && last_contact.lease == 3000);
+  SubscribeRequest follow, followed;
   follow.token = 8;
-  follow.echo_life = LifeId{12};
+  follow.echo_incarnation = IncarnationId{12};
   follow.echo = 9;
   follow.gap = 10;
   const std::string follow_bytes = encode(head, follow);
   ByteReader follow_reader(follow_bytes);
   cr_assert(decode_head(follow_reader, seen) && decode(follow_reader, followed));
-  cr_expect(followed.token == 8 && followed.echo_life == LifeId{12} && followed.echo == 9 &&
-            followed.gap == 10);
+  cr_expect(followed.token == 8 && followed.echo_incarnation == IncarnationId{12} &&
+            followed.echo == 9 && followed.gap == 10);
   EdgeSums sums{Term{4}, {{"north", "counts"}}}, summed;
   const std::string sums_bytes = encode(head, sums);
   ByteReader sums_reader(sums_bytes);
@@ -147,10 +149,10 @@
   Entry entry;
   entry.version = Version{7};
   entry.body = "seven";
-  std::string orders = note_order("", Version{5}, digest_of("five"));
-  orders = note_order(orders, Version{5}, digest_of("other five"));  // the first stays
-  orders = note_order(orders, Version{7}, digest_of("seven"));
-  entry.sheets[orders_sheet] = orders;
+  std::string orders = record_order("", Version{5}, digest_of("five"));
+  orders = record_order(orders, Version{5}, digest_of("other five"));  // the first stays
+  orders = record_order(orders, Version{7}, digest_of("seven"));
+  entry.documents[orders_document] = orders;
   Json::Value value = told(entry, 7, "seven");
   cr_expect(value["version"] == 7 && value["changed"] == true && value["taken"] == true &&
             value["superseded"] == false);
@@ -165,12 +167,12 @@
   cr_expect(told(entry, 6, "six")["taken"] == false && told(entry, 6, "six")["superseded"] == true,
             "passed over");
   cr_expect(told(entry, 3, "three")["taken"].isNull(), "before anybody kept it");
-  entry.sheets.clear();  // of a store written before there was such a sheet
+  entry.documents.clear();  // of a store written before there was such a sheet
   cr_expect(told(entry, 7, "seven")["taken"] == true &&
             told(entry, 7, "other seven")["taken"] == false &&
             told(entry, 5, "five")["taken"].isNull());
   for (std::int64_t version = 8; version < 2000; ++version)
-    orders = note_order(orders, Version{version}, digest_of(std::to_string(version)));
+    orders = record_order(orders, Version{version}, digest_of(std::to_string(version)));
   cr_expect(orders.size() < 5000 &&
             find_order(orders, Version{1999}, digest_of("1999")) == Taken::yes &&
             find_order(orders, Version{7}, digest_of("seven")) == Taken::unknown);
@@ -190,9 +192,9 @@
     cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
     cluster.run(500ms);
     for (const std::string& address : cluster.founders()) {
-      if (!cluster.at(address).agreement)
+      if (!cluster.at(address).raft)
         continue;
-      const Entry& committed = *cluster.at(address).agreement->committed();
+      const Entry& committed = *cluster.at(address).raft->committed();
       cr_expect(told(committed, 5, "five")["taken"] == true &&
                 told(committed, 5, "other five")["taken"] == false);
       cr_expect(told(committed, 7, "seven")["changed"] == true);
@@ -217,39 +219,39 @@
 
 namespace {
 
-class Quiet final : public Server::Handler {
+class Quiet final : public HttpServer::Handler {
  public:
-  Quiet() : server(poller, schedule, *this, 16, 1 << 20) {
+  Quiet() : server(poller, timers, *this, 16, 1 << 20) {
     for (int port = 30000; port < 60000 && !address.port; ++port)
       if (!server.open({"127.0.0.1", port}))
         address = {"127.0.0.1", port};
-    server.set_limits({16384, 1 << 20, Span(3000), Span(15000)});
+    server.set_limits({16384, 1 << 20, Duration(3000), Duration(15000)});
   }
-  void on_request(Visit&, Moment) override {
+  void on_request(ServerExchange&, TimePoint) override {
     ++requests;
   }
-  void on_gone(Visit&) override {
+  void on_gone(ServerExchange&) override {
   }
   Poller poller;
-  Schedule schedule;
-  Server server;
+  TimerQueue timers;
+  HttpServer server;
   Address address;
   int requests = 0;
 };
 
-struct Doubter final : CallOwner {
+struct Doubter final : HttpCallObserver {
   bool may = false;
   int asked = 0;
-  std::optional<Kind> broke;
-  bool may_send(Caller&, Moment) override {
+  std::optional<ErrorCode> broke;
+  bool may_send(HttpClientConnection&, TimePoint) override {
     return ++asked, may;
   }
-  void on_outcome(Caller&, Moment) override {
+  void on_response(HttpClientConnection&, TimePoint) override {
   }
-  void on_breakdown(Caller&, Kind kind, Moment) override {
+  void on_failure(HttpClientConnection&, ErrorCode kind, TimePoint) override {
     broke = kind;
   }
-  void on_idle_end(Caller&) override {
+  void on_idle_end(HttpClientConnection&) override {
   }
 };
 
@@ -259,18 +261,18 @@
 Test(calls, nothing_is_sent_once_the_owner_may_not) {
   Quiet quiet;
   Doubter owner;
-  Caller caller(quiet.poller, owner, quiet.address, 16384, 65536);
+  HttpClientConnection caller(quiet.poller, owner, quiet.address, 16384, 65536);
   cr_assert(caller.ask("GET / HTTP/1.1\r\nHost: h\r\n\r\n", false));
-  for (const Moment until = Clock::now() + 5s; Clock::now() < until && !owner.broke;)
-    quiet.poller.poll(Span(5));
-  cr_expect(owner.broke == Kind::deadline_reached && !caller.has_sent() && owner.asked == 1);
+  for (const TimePoint until = Clock::now() + 5s; Clock::now() < until && !owner.broke;)
+    quiet.poller.poll(Duration(5));
+  cr_expect(owner.broke == ErrorCode::deadline_reached && !caller.has_sent() && owner.asked == 1);
   for (int turn = 0; turn < 20; ++turn)
-    quiet.poller.poll(Span(1));
+    quiet.poller.poll(Duration(1));
   cr_expect(quiet.requests == 0);
   owner.may = true;
-  Caller allowed(quiet.poller, owner, quiet.address, 16384, 65536);
+  HttpClientConnection allowed(quiet.poller, owner, quiet.address, 16384, 65536);
   cr_assert(allowed.ask("GET / HTTP/1.1\r\nHost: h\r\n\r\n", false));
-  for (const Moment until = Clock::now() + 5s; Clock::now() < until && !quiet.requests;)
-    quiet.poller.poll(Span(5));
+  for (const TimePoint until = Clock::now() + 5s; Clock::now() < until && !quiet.requests;)
+    quiet.poller.poll(Duration(5));
   cr_expect(quiet.requests == 1);
 }
--- a/tests/cluster.h
+++ b/tests/cluster.h
@@ -18,16 +18,16 @@
  public:
   struct Node {
     std::string address;
-    std::unique_ptr<Agreement> agreement;  // null while down
-    Durable disk;                          // what was synced
+    std::unique_ptr<RaftNode> raft;  // null while down
+    PersistentState disk;            // what was synced
     bool has_disk = false, is_stuck = false;
-    Span save_time{0};  // of each save
-    Moment save_due{};
-    std::optional<Agreement::Save> pending;
-    std::map<std::uint64_t, Agreement::Result> results;
+    Duration save_time{0};  // of each save
+    TimePoint save_due{};
+    std::optional<RaftNode::Save> pending;
+    std::map<std::uint64_t, RaftNode::Result> results;
   };
   struct Flying {
-    Moment due;
+    TimePoint due;
     std::string to;
     RaftMessage message;
   };
@@ -53,7 +53,7 @@
     }
   }
 
-  Moment now() const {
+  TimePoint now() const {
     return now_;
   }
   Node& at(const std::string& address) {
@@ -70,15 +70,15 @@
       node.disk = {MemberId{1000 + ++drawn_}, {}, {}, std::make_shared<Entry>()};
       node.has_disk = true;
     }
-    AgreementOptions options;
+    RaftOptions options;
     options.address = address;
     options.voters = voters;
     options.draw = ++drawn_;
     node.pending.reset();
-    node.agreement = std::make_unique<Agreement>(node.disk, options, founders_, now_);
+    node.raft = std::make_unique<RaftNode>(node.disk, options, founders_, now_);
   }
   void stop(const std::string& address) {
-    nodes_[address].agreement.reset();
+    nodes_[address].raft.reset();
   }
   // With its disk to another address.
   void move(const std::string& from, const std::string& to) {
@@ -89,7 +89,7 @@
   }
   // In order: its process ends as soon as it may.
   void leave(const std::string& address) {
-    nodes_[address].agreement->leave(now_);
+    nodes_[address].raft->leave(now_);
     flush(nodes_[address]);
   }
   void wipe(const std::string& address) {
@@ -106,36 +106,36 @@
     cut_.clear(), cut_ways_.clear();
   }
 
-  void run(Span span) {
-    for (const Moment end = now_ + span; now_ < end; now_ += 5ms) {
+  void run(Duration span) {
+    for (const TimePoint end = now_ + span; now_ < end; now_ += 5ms) {
       std::vector<Flying> arrived;
-      for (auto place = flying_.begin(); place != flying_.end();)
-        if (place->due <= now_)
-          arrived.push_back(std::move(*place)), place = flying_.erase(place);
+      for (auto position = flying_.begin(); position != flying_.end();)
+        if (position->due <= now_)
+          arrived.push_back(std::move(*position)), position = flying_.erase(position);
         else
-          ++place;
+          ++position;
       for (const Flying& flying : arrived)
-        if (Node& node = nodes_[flying.to]; node.agreement)
-          node.agreement->receive(flying.message, now_);
+        if (Node& node = nodes_[flying.to]; node.raft)
+          node.raft->receive(flying.message, now_);
       for (auto& [address, node] : nodes_) {
-        if (!node.agreement)
+        if (!node.raft)
           continue;
         if (node.pending && !node.is_stuck && now_ >= node.save_due) {
-          node.disk = node.pending->durable;
+          node.disk = node.pending->persistent;
           const std::uint64_t serial = node.pending->serial;
           node.pending.reset();
-          node.agreement->finish_save(serial, true, now_);
+          node.raft->finish_save(serial, true, now_);
         }
-        node.agreement->tick(now_);
+        node.raft->tick(now_);
         flush(node);
-        if (node.agreement->has_left())
-          node.agreement.reset();
+        if (node.raft->has_left())
+          node.raft.reset();
       }
     }
   }
   // Until it holds, or not within ten seconds.
-  bool run_until(const std::function<bool()>& holds, Span most = Span(10000)) {
-    for (const Moment end = now_ + most; now_ < end;) {
+  bool run_until(const std::function<bool()>& holds, Duration limit = Duration(10000)) {
+    for (const TimePoint end = now_ + limit; now_ < end;) {
       if (holds())
         return true;
       run(5ms);
@@ -146,33 +146,33 @@
     std::string found;
     Term newest;
     for (auto& [address, node] : nodes_)
-      if (node.agreement && node.agreement->is_leader() && node.agreement->term() >= newest)
-        found = address, newest = node.agreement->term();
+      if (node.raft && node.raft->is_leader() && node.raft->term() >= newest)
+        found = address, newest = node.raft->term();
     return found;
   }
   bool has_leader() {
-    return !leader().empty() && at(leader()).agreement->is_confirmed(now_);
+    return !leader().empty() && at(leader()).raft->is_confirmed(now_);
   }
   // The token of a proposal to the leader of the moment.
   std::uint64_t propose(std::int64_t version, const std::string& body) {
     Node& node = at(leader());
-    node.agreement->propose(Version{version}, body, ++token_, now_);
+    node.raft->propose(Version{version}, body, ++token_, now_);
     flush(node);
     return token_;
   }
   bool is_done(const std::string& address, std::uint64_t token) {
     const auto found = at(address).results.find(token);
-    return found != at(address).results.end() && found->second.verdict == Agreement::Verdict::done;
+    return found != at(address).results.end() && found->second.verdict == RaftNode::Verdict::done;
   }
   std::string body_at(const std::string& address) {
     const Node& node = at(address);
-    return node.agreement && node.agreement->committed() ? node.agreement->committed()->body : "";
+    return node.raft && node.raft->committed() ? node.raft->committed()->body : "";
   }
   std::function<bool(std::uint64_t, const RaftMessage&)> should_drop = [](std::uint64_t,
                                                                           const RaftMessage&) {
     return false;
   };
-  Span way{12};
+  Duration way{12};
   std::uint32_t voters = 0;
   std::size_t bytes_per_ms = 0;  // of each way between two; 0: no bound
   std::uint64_t piece_bytes_sent() const {
@@ -183,7 +183,7 @@
   }
 
   void flush(Node& node) {
-    Agreement::Output output = node.agreement->take(now_);
+    RaftNode::Output output = node.raft->take(now_);
     if (output.save)
       node.pending = std::move(output.save), node.save_due = now_ + node.save_time;
     for (auto& result : output.results)
@@ -200,23 +200,23 @@
 
  private:
   // When its last byte is on the way: behind what was sent there before.
-  Moment leaves_at(const std::string& from, const Agreement::Outgoing& outgoing) {
+  TimePoint leaves_at(const std::string& from, const RaftNode::Outgoing& outgoing) {
     const std::size_t bytes = outgoing.message.piece ? outgoing.message.piece->bytes.size() : 0;
     piece_bytes_sent_ += bytes;
     if (!bytes_per_ms)
       return now_;
-    Moment& free = free_[{from, outgoing.to}];
+    TimePoint& free = free_[{from, outgoing.to}];
     free = std::max(free, now_) + std::chrono::microseconds((bytes + 200) * 1000 / bytes_per_ms);
     return free;
   }
 
-  Moment now_ = Moment{} + 1000s;
+  TimePoint now_ = TimePoint{} + 1000s;
   std::vector<std::string> founders_;
   std::map<std::string, Node> nodes_;
   std::deque<Flying> flying_;
   std::set<std::string> cut_;
   std::set<std::pair<std::string, std::string>> cut_ways_;
-  std::map<std::pair<std::string, std::string>, Moment> free_;
+  std::map<std::pair<std::string, std::string>, TimePoint> free_;
   std::uint64_t piece_bytes_sent_ = 0;
   std::uint64_t drawn_ = 0, token_ = 0, sent_ = 0;
 };
--- a/tests/database_stage.h
+++ b/tests/database_stage.h
@@ -25,7 +25,7 @@
   };
   // Before the message is read, after it was, its answer; a surplus READY before it; its answer's
   // end left out.
-  enum class Fault {
+  enum class InjectedFault {
     none,
     cut_before,
     cut_after,
@@ -40,7 +40,7 @@
   std::vector<std::pair<std::string, Values>>
       reads;  // things read, with the values of the connection
   int messages = 0, strike_at = 0;
-  Fault fault = Fault::none;
+  InjectedFault injected_fault = InjectedFault::none;
 
   // What it answers; sets `is_cut` when the connection ends.
   std::string take(Connection& connection, const std::string& bytes, bool& is_cut) {
@@ -49,16 +49,16 @@
     for (WireMessage message;
          !connection.is_gone && read_wire(connection.in, message) == WireStep::done;) {
       const bool is_struck = ++messages == strike_at;
-      if (is_struck && fault == Fault::cut_before)
+      if (is_struck && injected_fault == InjectedFault::cut_before)
         return is_cut = connection.is_gone = true, out;
       const std::string answer = handle(connection, message);
-      if (is_struck && fault == Fault::cut_after)
+      if (is_struck && injected_fault == InjectedFault::cut_after)
         return is_cut = connection.is_gone = true, out;
-      if (is_struck && fault == Fault::lose_answer)
+      if (is_struck && injected_fault == InjectedFault::lose_answer)
         return is_cut = connection.is_gone = true, out + answer.substr(0, answer.size() / 2);
-      if (is_struck && fault == Fault::surplus_ready)
+      if (is_struck && injected_fault == InjectedFault::surplus_ready)
         out += ready(connection);
-      out += is_struck && fault == Fault::no_end ? without_end(answer) : answer;
+      out += is_struck && injected_fault == InjectedFault::no_end ? without_end(answer) : answer;
     }
     return out;
   }
@@ -66,16 +66,16 @@
     std::string kept;
     for (WireMessage message; read_wire(answer, message) == WireStep::done;)
       if (message.kind == WireKind::ready)
-        kept += wire(WireKind::ready, {message.field(0), message.field(1)});
+        kept += encode_message(WireKind::ready, {message.field(0), message.field(1)});
       else if (message.kind == WireKind::row)
-        kept += wire(WireKind::row, {message.field(0)});
+        kept += encode_message(WireKind::row, {message.field(0)});
     return kept;
   }
   std::string ready(const Connection& connection) const {
-    return wire(WireKind::ready, {connection.has_failed   ? "E"
-                                  : connection.has_change ? "T"
-                                                          : "I",
-                                  std::to_string(term) + "." + std::to_string(number)});
+    return encode_message(WireKind::ready, {connection.has_failed   ? "E"
+                                            : connection.has_change ? "T"
+                                                                    : "I",
+                                            std::to_string(term) + "." + std::to_string(number)});
   }
   std::string handle(Connection& connection, const WireMessage& message) {
     if (!connection.is_greeted)
@@ -84,13 +84,13 @@
     const auto refuse = [&](const char* code) {
       if (connection.has_change)
         connection.has_failed = true;
-      return wire(WireKind::error, {code, "stand-in"}) + ready(connection);
+      return encode_message(WireKind::error, {code, "stand-in"}) + ready(connection);
     };
     if (text.starts_with("AFTER ")) {
-      LogPlace wanted;
+      LogPosition wanted;
       const auto space = text.find(' ', 6);
-      read_place(text.substr(6, space - 6), wanted);
-      if (wanted > LogPlace{term, number})
+      read_log_position(text.substr(6, space - 6), wanted);
+      if (wanted > LogPosition{term, number})
         return refuse("LAGGING");
       text = text.substr(space + 1);
     }
@@ -122,7 +122,7 @@
         number += !connection.writes.empty();
         connection.writes.clear();
         connection.has_change = false;
-        return wire(WireKind::done, {"stamp " + message.field(0)}) + ready(connection);
+        return encode_message(WireKind::done, {"stamp " + message.field(0)}) + ready(connection);
       case Verb::run:
         if (!connection.names.contains(statement.first))
           return refuse("NOSUCH");
@@ -141,25 +141,25 @@
         } else {
           reads.push_back({text.substr(5), connection.values});
         }
-        return wire(WireKind::row, {"row of " + text}) +
-               wire(WireKind::done, {"stamp " + message.field(0)}) + ready(connection);
+        return encode_message(WireKind::row, {"row of " + text}) +
+               encode_message(WireKind::done, {"stamp " + message.field(0)}) + ready(connection);
       }
       default:
         break;
     }
-    return wire(WireKind::done, {"-"}) + ready(connection);
+    return encode_message(WireKind::done, {"-"}) + ready(connection);
   }
 };
 
 // The ground of sessions over one stand-in that leads and, if wanted, a copy.
-class SessionStage final : public SessionGround {
+class DatabaseSessionFixture final : public SessionContext {
  public:
-  SessionStage() : pool_(make_ground()) {
+  DatabaseSessionFixture() : pool_(make_ground()) {
     const std::string body =
         R"({"version":1,"services":[{"name":"db","most_connections":9}],"routes":[)"
         R"({"host":"books","path_start":"/","sort":"leader","give_up_ms":1000,"target_ms":800,"service":"db","tries":2},)"
         R"({"host":"reports","path_start":"/","sort":"bounded","read_age_ms":1500,"give_up_ms":1000,"service":"db","tries":2}]})";
-    const Fault found = read_configuration(body, configuration_);
+    const Error found = read_configuration(body, configuration_);
     cr_assert(!found, "%s", found.text().c_str());
     for (const char* id : {"leader", "copy"}) {
       auto backend = std::make_shared<Backend>();
@@ -171,20 +171,20 @@
   }
   // A client: what it is answered, message by message.
   struct Client {
-    explicit Client(SessionStage& stage) : session(std::make_unique<Session>(stage)) {
+    explicit Client(DatabaseSessionFixture& stage) : session(std::make_unique<Session>(stage)) {
       stage.clients_[session.get()] = this;
     }
     std::unique_ptr<Session> session;
-    std::vector<WireMessage> heard;
+    std::vector<WireMessage> last_contact;
     std::string bytes;
     bool is_closed = false;
-    Moment due = Moment::max();
+    TimePoint due = TimePoint::max();
     const WireMessage& last() const {
-      return heard.back();
+      return last_contact.back();
     }
     // The verdict of the last statement: empty for done.
     std::string verdict() const {
-      for (auto message = heard.rbegin(); message != heard.rend(); ++message) {
+      for (auto message = last_contact.rbegin(); message != last_contact.rend(); ++message) {
         if (message->kind == WireKind::done)
           return "";
         if (message->kind == WireKind::error)
@@ -194,7 +194,7 @@
     }
   };
   void start(Client& client, const std::string& database = "books") {
-    give(client, wire(WireKind::connect, {database, "who"}));
+    give(client, encode_message(WireKind::connect, {database, "who"}));
   }
   // Gives one statement and carries all messages until nothing moves.
   void say(Client& client, const std::string& text) {
@@ -203,41 +203,42 @@
   void give(Client& client, std::string bytes) {
     WireMessage message;
     cr_assert(read_wire(bytes, message) == WireStep::done);
-    client.heard.clear();
+    client.last_contact.clear();
     client.session->take(std::move(message), Clock::now());
     pump();
   }
   void pump() {
     for (bool has_moved = true; has_moved;) {
       has_moved = false;
-      for (std::size_t place = 0; place < links_.size(); ++place) {
-        Link* link = links_[place];
+      for (std::size_t position = 0; position < links_.size(); ++position) {
+        Link* link = links_[position];
         if (!link || (link->out.empty() && !link->is_cut))
           continue;
         has_moved = true;
         std::string bytes = std::exchange(link->out, {});
         const bool is_cut = std::exchange(link->is_cut, false);
         link->in += bytes;
-        for (WireMessage message; links_[place] && read_wire(link->in, message) == WireStep::done;)
-          link->lane.take_message(std::move(message), Clock::now());
-        if (is_cut && links_[place])
-          link->lane.take_end();
+        for (WireMessage message;
+             links_[position] && read_wire(link->in, message) == WireStep::done;)
+          link->database_connection.take_message(std::move(message), Clock::now());
+        if (is_cut && links_[position])
+          link->database_connection.take_end();
       }
     }
-    graves_.clear();
+    closed_connections_.clear();
   }
 
   const ConfigurationSnapshot& configuration() const override {
     return configuration_;
   }
-  DatabaseChoice choose(const Session&, const std::string&, const Rule& rule, bool must_lead,
-                        Moment, Moment) override {
-    if (!must_lead && rule.sight == Sight::bounded && after.is_known())
+  DatabaseChoice choose(const Session&, const std::string&, const Route& route, bool must_lead,
+                        TimePoint, TimePoint) override {
+    if (!must_lead && route.read_consistency == ReadConsistency::bounded && after.is_known())
       return {backends["copy"], false, after};
-    return {has_hold ? backends["leader"] : nullptr, true, {}};
+    return {has_lease ? backends["leader"] : nullptr, true, {}};
   }
-  bool holds_lead(const Backend& backend, Moment) const override {
-    return has_hold && backend.id == "leader";
+  bool holds_leadership(const Backend& backend, TimePoint) const override {
+    return has_lease && backend.id == "leader";
   }
   bool may_wait(Session& session) override {
     return waiting.insert(&session).second;
@@ -245,75 +246,77 @@
   void stop_waiting(Session& session) override {
     waiting.erase(&session);
   }
-  void see_refusal(Backend&, Verdict, Moment) override {
+  void see_refusal(Backend&, Verdict, TimePoint) override {
   }
   void say(Session& session, std::string bytes) override {
     Client& client = *clients_[&session];
     client.bytes += bytes;
     for (WireMessage message; read_wire(client.bytes, message) == WireStep::done;)
-      client.heard.push_back(message);
+      client.last_contact.push_back(message);
   }
   void close(Session& session) override {
     clients_[&session]->is_closed = true;
   }
-  void set_due(Session& session, Moment due) override {
+  void set_due(Session& session, TimePoint due) override {
     clients_[&session]->due = due;
   }
-  Pool& pool() override {
+  DatabaseConnectionPool& pool() override {
     return pool_;
   }
-  int most_lanes(const Service&) const override {
-    return most;
+  int max_connections(const Service&) const override {
+    return limit;
   }
 
   std::map<std::string, BackendPointer> backends;
   std::map<std::string, StandIn> databases;
   std::set<Session*> waiting;
-  LogPlace after;
-  bool has_hold = true;
-  int most = 1, last_try = 0, opened = 0;
+  LogPosition after;
+  bool has_lease = true;
+  int limit = 1, last_try = 0, opened = 0;
 
  private:
-  struct Link final : LaneLink {
-    Link(SessionStage& stage, Lane& lane) : stage(stage), lane(lane), place(stage.links_.size()) {
+  struct Link final : DatabaseConnectionLink {
+    Link(DatabaseSessionFixture& stage, DatabaseConnection& database_connection)
+        : stage(stage), database_connection(database_connection), position(stage.links_.size()) {
       stage.links_.push_back(this);
     }
     ~Link() override {
-      stage.links_[place] = nullptr;
+      stage.links_[position] = nullptr;
     }
     bool send(const std::string& bytes) override {
       if (connection.is_gone)
         return false;
-      out += stage.databases[lane.backend().id].take(connection, bytes, is_cut);
+      out += stage.databases[database_connection.backend().id].take(connection, bytes, is_cut);
       return true;
     }
     void close() override {
       connection.is_gone = true;  // what was not saved is rolled back with it
-      stage.links_[place] = nullptr;
+      stage.links_[position] = nullptr;
     }
-    SessionStage& stage;
-    Lane& lane;
-    std::size_t place;
+    DatabaseSessionFixture& stage;
+    DatabaseConnection& database_connection;
+    std::size_t position;
     StandIn::Connection connection;
     std::string in, out;
     bool is_cut = false;
   };
-  Pool::Ground make_ground() {
-    return {[this](Lane& lane) -> std::unique_ptr<LaneLink> {
-              ++opened;
-              return std::make_unique<Link>(*this, lane);
-            },
-            [](Backend&, const LogPlace&, Moment) {}, [](Backend&, bool) {},
-            [] { return Clock::now(); },
-            [this](std::unique_ptr<Lane> lane) {
-              graves_.push_back(std::move(lane));
-            }};
+  DatabaseConnectionPool::Ground make_ground() {
+    return {
+        [this](DatabaseConnection& database_connection) -> std::unique_ptr<DatabaseConnectionLink> {
+          ++opened;
+          return std::make_unique<Link>(*this, database_connection);
+        },
+        [](Backend&, const LogPosition&, TimePoint) {}, [](Backend&, bool) {},
+        [] { return Clock::now(); },
+        [this](std::unique_ptr<DatabaseConnection> database_connection) {
+          closed_connections_.push_back(std::move(database_connection));
+        }};
   }
   ConfigurationSnapshot configuration_;
   std::map<const Session*, Client*> clients_;
   std::vector<Link*> links_;
-  std::vector<std::unique_ptr<Lane>> graves_;
-  Pool pool_;
+  std::vector<std::unique_ptr<DatabaseConnection>> closed_connections_;
+  DatabaseConnectionPool pool_;
 };
 
 }  // namespace saddlewing::tests
--- a/tests/disk_model.h
+++ b/tests/disk_model.h
@@ -77,7 +77,7 @@
   return slot;
 }
 
-class DiskModel final : public Disk {
+class DiskModel final : public FileSystem {
  public:
   // How an operation fails: not begun; done by half; done and yet an error; as by half, and the
   // process ends there; or, of a sync, with the writes taken for synced from then on though they
@@ -120,7 +120,7 @@
   bool is_strict = false;            // a new file, too, lasts only after its folder was synced
 
   int clear(const std::string& path) override {
-    return run([&] { return Disk::clear(path); },
+    return run([&] { return FileSystem::clear(path); },
                [&](bool) {
                  Name& name = names_[name_of(path)];
                  if (!name.now) {
@@ -133,7 +133,7 @@
                });
   }
   int write_image(const std::string& path, const std::string& record) override {
-    return run([&] { return Disk::write_image(path, record); },
+    return run([&] { return FileSystem::write_image(path, record); },
                [&](bool is_half) {
                  const std::string bytes = read_file(path);
                  std::string kept;
@@ -147,13 +147,13 @@
   }
   int write(const std::string& path, std::uint64_t offset, const std::string& bytes) override {
     const std::string before = read_file(path);
-    return run([&] { return Disk::write(path, offset, bytes); },
+    return run([&] { return FileSystem::write(path, offset, bytes); },
                [&](bool is_half) {
                  const std::string part =
                      bytes.substr(0, is_half ? bytes.size() / 2 : bytes.size());
                  note(path, offset, part);
                  if (is_half)
-                   write_file(path, before), Disk::write(path, offset, part);
+                   write_file(path, before), FileSystem::write(path, offset, part);
                });
   }
   int sync(const std::string& path) override {
@@ -193,7 +193,7 @@
     Name& name = names_[name_of(path)];
     if (!name.now)
       return ENOENT;
-    return run([&] { return Disk::remove(path); },
+    return run([&] { return FileSystem::remove(path); },
                [&](bool) {
                  name.now.reset();
                  name.since.push_back(std::nullopt);
@@ -212,10 +212,10 @@
                });
   }
 
-  // What a loss of power now may leave: every outcome where these are `most` at the most, else so
+  // What a loss of power now may leave: every outcome where these are `limit` at the most, else so
   // many drawn by `seed`, with all kept and all lost among them. Gives how many.
-  std::size_t for_each_loss(std::size_t most, std::uint64_t seed,
-                            const std::function<void(const Files&)>& visit) const {
+  std::size_t for_each_loss(std::size_t limit, std::uint64_t seed,
+                            const std::function<void(const Files&)>& exchange) const {
     std::vector<std::size_t> bases;
     for (const auto& [text, name] : names_)
       bases.push_back(1 + name.since.size());
@@ -227,10 +227,10 @@
       all *= static_cast<double>(base);
     std::mt19937_64 random(seed);
     std::vector<std::size_t> choice(bases.size(), 0);
-    const bool is_drawn = all > static_cast<double>(most);
-    const std::size_t count = is_drawn ? most : static_cast<std::size_t>(all);
+    const bool is_drawn = all > static_cast<double>(limit);
+    const std::size_t count = is_drawn ? limit : static_cast<std::size_t>(all);
     for (std::size_t turn = 0; turn < count; ++turn) {
-      visit(outcome(choice));
+      exchange(outcome(choice));
       if (is_drawn) {
         for (std::size_t at = 0; at < bases.size(); ++at)
           choice[at] = turn == 0 ? bases[at] - 1 : random() % bases[at];
