--- a/tests/edges_test.cpp
+++ b/tests/edges_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr Moment morning = Moment{} + 1000s;
+constexpr TimePoint morning = TimePoint{} + 1000s;
 const std::vector<std::string> regions = {"north", "middle", "south"};
 const std::vector<std::string> zones = {"north-a", "middle-a", "south-a"};
 
@@ -26,31 +26,31 @@
   };
   struct Broker {
     std::string region;
-    EdgeGate gate;
+    EdgeSelector gate;
     EdgeCounts counts{256};
-    Moment due{}, cut_until{};
+    TimePoint due{}, cut_until{};
     double own_ms[3] = {0, 0, 0};
-    Moment stopped{}, first_back{};
+    TimePoint stopped{}, first_back{};
   };
   // Options.
   EdgeOptions options;
   double slow_ms = 120;  // what north-a takes for the south beyond the usual, while it is slow
-  Moment slow_from = morning + 10s, slow_until = morning + 30s;
-  Span length{45000};
+  TimePoint slow_from = morning + 10s, slow_until = morning + 30s;
+  Duration length{45000};
   bool has_view = true, has_common_turn = true, is_noisy = false, has_heavy = false,
        is_slow_in_turns = false;
   Fate fate = Fate::none;
   int fated = -1;
-  Moment leader_dies{};
+  TimePoint leader_dies{};
   bool does_new_leader_know = true;
 
   std::vector<Broker> brokers;
-  std::unique_ptr<EdgeJudge> judge;
-  std::unique_ptr<Rollout> rollout;
+  std::unique_ptr<EdgeLatencyAggregator> judge;
+  std::unique_ptr<VersionRollout> rollout;
   std::vector<std::uint64_t> held;
   std::string view_text;
   std::uint64_t term = 1;
-  Moment now = morning, decided{}, judged{}, leaderless_until{};
+  TimePoint now = morning, decided{}, judged{}, leaderless_until{};
   int messages = 0, turns = 0, late_elsewhere = 0, asked_elsewhere = 0, next_id = 0;
   std::map<int, int> ran;  // requests by how often a backend ran them
   std::map<std::string, int> load;
@@ -64,16 +64,16 @@
     for (const std::string& region : regions)
       for (int number = 0; number < per_region; ++number)
         brokers.push_back({region,
-                           EdgeGate(region, draw(), options),
+                           EdgeSelector(region, draw(), options),
                            EdgeCounts(256),
-                           morning + Span(draw() % 400),
+                           morning + Duration(draw() % 400),
                            {},
                            {0, 0, 0},
                            {},
                            {}});
     held.resize(brokers.size());
-    judge = std::make_unique<EdgeJudge>(options);
-    rollout = std::make_unique<Rollout>(options.most_wait);
+    judge = std::make_unique<EdgeLatencyAggregator>(options);
+    rollout = std::make_unique<VersionRollout>(options.max_wait);
   }
   bool is_slow(std::size_t zone, const std::string& region) const {
     if (is_slow_in_turns)
@@ -120,7 +120,7 @@
     if (is_slow(best, broker.region))
       took += slow_ms;
     if (broker.region == "south" && best == 0 && !is_trial) {
-      if (broker.first_back == Moment{} && now > slow_until)
+      if (broker.first_back == TimePoint{} && now > slow_until)
         broker.first_back = now;
     }
     if (best != 0 && now > slow_from + 4s && now < slow_until)
@@ -132,8 +132,8 @@
   Fate meet() {
     return messages++ == fated ? fate : Fate::none;
   }
-  void follow(std::size_t place) {
-    Broker& broker = brokers[place];
+  void follow(std::size_t position) {
+    Broker& broker = brokers[position];
     broker.due = now + 400ms;
     std::string counts = broker.counts.take();
     const Fate met = meet();
@@ -142,14 +142,14 @@
     for (int times = met == Fate::doubled ? 2 : 1; times > 0; --times)
       if (!counts.empty())
         judge->add(broker.region, counts, now);
-    held[place] = broker.gate.held();
+    held[position] = broker.gate.held();
     if (met != Fate::late)
       tell(broker);  // a late beat is an old one: it brings nothing new
   }
   void tell(Broker& broker) {
     if (now < broker.cut_until)
       return;
-    if (broker.gate.held() < judge->view()->mark) {
+    if (broker.gate.held() < judge->view()->revision) {
       auto view = std::make_shared<EdgeView>();
       cr_assert(decode_view(encode_view(*judge->view()), *view));
       broker.gate.take(view);
@@ -163,64 +163,64 @@
     if (now < leaderless_until)
       return;
     std::vector<Version> holds;
-    for (const std::uint64_t mark : held)
-      holds.push_back(Version{static_cast<std::int64_t>(mark)});
-    if (rollout->advance(holds, now) != Rollout::Turn::none)
+    for (const std::uint64_t revision : held)
+      holds.push_back(Version{static_cast<std::int64_t>(revision)});
+    if (rollout->advance(holds, now) != VersionRollout::Turn::none)
       for (Broker& broker : brokers)
         tell(broker);
     if (now - judged < 400ms)
       return;
     judged = now;
-    std::map<EdgeJudge::Edge, double> capacity;
+    std::map<EdgeLatencyAggregator::Edge, double> capacity;
     for (const std::string& zone : zones)
       capacity[{"index", zone}] = 40;
     const EdgeSnapshot view = judge->judge(term, capacity, now);
     if (!view)
       return;
     ++turns;
-    if (decided == Moment{} && now >= slow_from)
+    if (decided == TimePoint{} && now >= slow_from)
       decided = now;
-    rollout->commit(Version{static_cast<std::int64_t>(view->mark)}, now);
+    rollout->commit(Version{static_cast<std::int64_t>(view->revision)}, now);
     // The view goes out at once; half of the brokers get it with their next follow alone.
-    for (std::size_t place = 0; place < brokers.size(); place += 2) {
+    for (std::size_t position = 0; position < brokers.size(); position += 2) {
       if (has_common_turn)
-        tell(brokers[place]);
+        tell(brokers[position]);
       else
-        brokers[place].gate.take(view), brokers[place].gate.see_in_force(view->mark, now);
+        brokers[position].gate.take(view), brokers[position].gate.see_in_force(view->revision, now);
     }
   }
   void die() {
     const EdgeSnapshot known = judge->view();
-    const EdgeJudge::Ways ways = judge->ways();
-    judge = std::make_unique<EdgeJudge>(options);
-    rollout = std::make_unique<Rollout>(options.most_wait);
+    const EdgeLatencyAggregator::Ways ways = judge->ways();
+    judge = std::make_unique<EdgeLatencyAggregator>(options);
+    rollout = std::make_unique<VersionRollout>(options.max_wait);
     ++term;
     leaderless_until = now + 1s;
     if (!does_new_leader_know)
       return;
     judge->take(known, now);
     judge->take_ways(ways);
-    if (known->mark)
-      rollout->commit(Version{static_cast<std::int64_t>(known->mark)}, now);
+    if (known->revision)
+      rollout->commit(Version{static_cast<std::int64_t>(known->revision)}, now);
   }
   void run() {
     while (now < morning + length) {
       now += 5ms;
-      if (leader_dies != Moment{} && now >= leader_dies)
-        leader_dies = Moment{}, die();
+      if (leader_dies != TimePoint{} && now >= leader_dies)
+        leader_dies = TimePoint{}, die();
       lead();
-      for (std::size_t place = 0; place < brokers.size(); ++place) {
-        if (now >= brokers[place].due)
-          follow(place);
+      for (std::size_t position = 0; position < brokers.size(); ++position) {
+        if (now >= brokers[position].due)
+          follow(position);
         if (draw() % 24 == 0)
-          ask(brokers[place]);
-        note_stop(brokers[place]);
+          ask(brokers[position]);
+        note_stop(brokers[position]);
       }
     }
   }
   // Whether a broker has turned away from the slow edge, and when.
   void note_stop(Broker& broker) {
-    if (broker.region != "south" || now < slow_from || broker.stopped != Moment{})
+    if (broker.region != "south" || now < slow_from || broker.stopped != TimePoint{})
       return;
     const bool has_stopped =
         has_view ? broker.gate.standing("index", zones[0], 1).verdict == EdgeState::Verdict::avoided
@@ -229,16 +229,16 @@
       broker.stopped = now;
   }
   // Between the first and the last broker of the south that stops sending there.
-  Span spread() const {
-    Moment first = Moment::max(), last{};
+  Duration spread() const {
+    TimePoint first = TimePoint::max(), last{};
     for (const Broker& broker : brokers)
       if (broker.region == "south")
         first = std::min(first, broker.stopped),
-        last = std::max(last, broker.stopped == Moment{} ? now : broker.stopped);
-    return span_between(first, last);
+        last = std::max(last, broker.stopped == TimePoint{} ? now : broker.stopped);
+    return elapsed(first, last);
   }
   void run_until_slow_ends() {
-    length = span_between(morning, slow_until);
+    length = elapsed(morning, slow_until);
     run();
   }
 };
@@ -250,14 +250,14 @@
   shared.start(20), alone.start(20);
   alone.has_view = false;
   shared.run_until_slow_ends(), alone.run_until_slow_ends();
-  const Span decision = span_between(shared.slow_from, shared.decided);
+  const Duration decision = elapsed(shared.slow_from, shared.decided);
   std::printf(
       "edges: decided %lld ms after the slowdown; last stop of the south's brokers %lld ms apart, "
       "each by itself %lld ms apart; %d of %d late elsewhere\n",
       static_cast<long long>(decision.count()), static_cast<long long>(shared.spread().count()),
       static_cast<long long>(alone.spread().count()), shared.late_elsewhere,
       shared.asked_elsewhere);
-  cr_expect(shared.decided != Moment{} && decision < 4s);
+  cr_expect(shared.decided != TimePoint{} && decision < 4s);
   cr_expect(shared.spread() <= 10ms, "%lld", static_cast<long long>(shared.spread().count()));
   cr_expect(alone.spread() > 500ms);
   for (const auto& [id, times] : shared.ran)
@@ -265,7 +265,7 @@
   cr_expect(shared.late_elsewhere * 50 < shared.asked_elsewhere,
             "those that take the load stay within their aim");
   cr_expect(shared.turns <= 3, "%d", shared.turns);
-  shared.length = Span(45000);
+  shared.length = Duration(45000);
   shared.run();
   cr_expect(shared.judge->view()->states.empty() ||
                 shared.judge->view()->find("index", "north-a", "south") == nullptr,
@@ -296,10 +296,10 @@
       cr_expect(count > 0);
   }
   Day nervous;  // without the hysteresis
-  nervous.options.least_stay = Span(0);
+  nervous.options.min_stay = Duration(0);
   nervous.options.avoid_times = 1.05, nervous.options.return_times = 1.04,
-  nervous.options.least_samples = 2, nervous.options.least_trials = 1;
-  nervous.options.half_life = Span(300);
+  nervous.options.min_samples = 2, nervous.options.min_trials = 1;
+  nervous.options.half_life = Duration(300);
   nervous.is_slow_in_turns = true;
   nervous.start(10);
   nervous.run();
@@ -313,11 +313,12 @@
       day.fate = fate, day.fated = fated;
       day.start(4);
       day.run_until_slow_ends();
-      cr_expect(day.decided != Moment{} && day.spread() <= Span(1200), "message %d: %lld", fated,
-                static_cast<long long>(day.spread().count()));
+      cr_expect(day.decided != TimePoint{} && day.spread() <= Duration(1200), "message %d: %lld",
+                fated, static_cast<long long>(day.spread().count()));
     }
   for (const bool does_know : {true, false})
-    for (const Span after : {Span(500), Span(1500), Span(2500), Span(4000), Span(8000)}) {
+    for (const Duration after :
+         {Duration(500), Duration(1500), Duration(2500), Duration(4000), Duration(8000)}) {
       Day day;
       day.leader_dies = day.slow_from + after;
       day.does_new_leader_know = does_know;
@@ -332,13 +333,13 @@
 
 Test(edges, a_broker_that_hears_nothing_more_fades_to_neutral) {
   EdgeOptions options;
-  EdgeGate gate("south", 1, options);
+  EdgeSelector gate("south", 1, options);
   auto view = std::make_shared<EdgeView>();
-  view->mark = 5;
+  view->revision = 5;
   view->states.push_back({"index", "north-a", "south", EdgeState::Verdict::avoided, 0, ""});
-  cr_expect(gate.take(view) && gate.serving()->mark == 0, "it waits for its turn");
+  cr_expect(gate.take(view) && gate.serving()->revision == 0, "it waits for its turn");
   gate.see_in_force(5, morning);
-  cr_expect(gate.serving()->mark == 5 &&
+  cr_expect(gate.serving()->revision == 5 &&
             gate.standing("index", "north-a", 100).verdict == EdgeState::Verdict::avoided);
   cr_expect(gate.influence(morning + options.fade / 2) == 1 &&
             gate.influence(morning + options.fade) == 0);
@@ -350,10 +351,10 @@
 Test(edges, a_shard_never_loses_its_last_edge_and_load_moves_only_where_it_can_be_carried) {
   const auto judge = [](double slots, std::size_t count) {
     EdgeOptions options;
-    EdgeJudge judge(options);
+    EdgeLatencyAggregator judge(options);
     EdgeSnapshot view;
-    std::map<EdgeJudge::Edge, double> capacity;
-    for (Moment now = morning; now < morning + 8s; now += 200ms) {
+    std::map<EdgeLatencyAggregator::Edge, double> capacity;
+    for (TimePoint now = morning; now < morning + 8s; now += 200ms) {
       EdgeCounts counts(16);
       for (std::size_t zone = 0; zone < count; ++zone) {
         capacity[{"index", zones[zone]}] = slots;
@@ -396,7 +397,7 @@
   EdgeCount impossible;
   impossible.times[3] = 1;
   impossible.failures = 2;
-  EdgeJudge judge{EdgeOptions{}};
+  EdgeLatencyAggregator judge{EdgeOptions{}};
   cr_expect(!judge.add("south",
                        encode_edges({{EdgeName{"index", "north-a", EdgeClass::light}, impossible}}),
                        morning));
@@ -405,7 +406,7 @@
   full.add({"b", "x", EdgeClass::light}, 1, false);
   cr_expect(full.rows().size() == 1 && full.dropped() == 1);
   EdgeView view, read;
-  view.mark = 7;
+  view.revision = 7;
   view.states.push_back({"index", "north-a", "south", EdgeState::Verdict::avoided, 0, "slow"});
   const std::string text = encode_view(view);
   cr_expect(decode_view(text, read) && read.find("index", "north-a", "south"));
--- a/tests/entry_change_test.cpp
+++ b/tests/entry_change_test.cpp
@@ -10,16 +10,16 @@
 namespace {
 
 EntrySnapshot entry_of(std::uint64_t index, const std::string& body,
-                       const std::string& sheet = {}) {
+                       const std::string& document = {}) {
   auto entry = std::make_shared<Entry>();
   entry->term = {4};
   entry->index = {index};
   entry->version = {static_cast<std::int64_t>(index)};
   entry->body = body;
-  if (!sheet.empty())
-    entry->sheets["ring"] = sheet;
+  if (!document.empty())
+    entry->documents["ring"] = document;
   entry->members = {{MemberId{5}, "10.0.0.1:7"}};
-  entry->former = {{MemberId{6}, "10.0.0.2:7"}};
+  entry->outgoing = {{MemberId{6}, "10.0.0.2:7"}};
   entry->core_size = 3;
   return entry;
 }
@@ -47,8 +47,9 @@
 
 bool is_same(const Entry& left, const Entry& right) {
   return left.term == right.term && left.index == right.index && left.version == right.version &&
-         left.body == right.body && left.sheets == right.sheets && left.members == right.members &&
-         left.former == right.former && left.core_size == right.core_size;
+         left.body == right.body && left.documents == right.documents &&
+         left.members == right.members && left.outgoing == right.outgoing &&
+         left.core_size == right.core_size;
 }
 
 }  // namespace
@@ -59,17 +60,17 @@
   const auto change = make_change(*after, before.get());
   cr_expect(change->bytes.size() < 64,
             "two places, in the configuration and in a sheet: what differs travels, no more");
-  const auto sheet_alone =
+  const auto document_alone =
       make_change(*content_of(entry_of(8, large_body(300000, 7), "other")), before.get());
-  cr_expect(sheet_alone->bytes.size() < 64);
-  EntryAssembly assembly;
+  cr_expect(document_alone->bytes.size() < 64);
+  ChunkAssembler assembly;
   EntrySnapshot entry;
-  auto step = EntryAssembly::Step::more;
+  auto step = ChunkAssembler::Step::more;
   for (std::uint64_t offset = 0; offset < change->bytes.size(); offset += piece_bytes) {
-    cr_assert(step == EntryAssembly::Step::more);
+    cr_assert(step == ChunkAssembler::Step::more);
     step = assembly.take(change->piece(offset), before->entry, entry);
   }
-  cr_assert(step == EntryAssembly::Step::whole);
+  cr_assert(step == ChunkAssembler::Step::whole);
   cr_expect(is_same(*entry, *after->entry));
 }
 
@@ -78,48 +79,48 @@
   const auto next = content_of(entry_of(8, noise(70000, 3)));
   const auto change = make_change(*next, nullptr);
   const std::size_t count = (change->bytes.size() + piece_bytes - 1) / piece_bytes;
-  for (std::size_t place = 0; place < count; ++place)
+  for (std::size_t position = 0; position < count; ++position)
     for (int strike = 0; strike < 5; ++strike) {
-      EntryAssembly assembly;
+      ChunkAssembler assembly;
       EntrySnapshot entry;
-      auto last = EntryAssembly::Step::more;
-      bool is_whole = false;
+      auto last = ChunkAssembler::Step::more;
+      bool is_complete = false;
       for (std::size_t at = 0; at < count; ++at) {
-        EntryPiece piece = change->piece(at * piece_bytes);
-        if (at == place && strike == 0)
+        EntryChunk piece = change->piece(at * piece_bytes);
+        if (at == position && strike == 0)
           continue;  // lost
-        if (at == place && strike == 1)
+        if (at == position && strike == 1)
           last = assembly.take(piece, next->entry, entry);  // doubled
-        if (at == place && strike == 2)
+        if (at == position && strike == 2)
           piece.bytes[piece.bytes.size() / 2] ^= 1;  // damaged
-        if (at == place && strike == 3)
+        if (at == position && strike == 3)
           piece.bytes.pop_back();  // ends early
-        if (at == place && strike == 4)
+        if (at == position && strike == 4)
           piece.offset += 1;
         last = assembly.take(piece, next->entry, entry);
         if (!entry)
           continue;
-        is_whole = true;
+        is_complete = true;
         cr_expect(is_same(*entry, *next->entry));
       }
-      cr_expect(is_whole == (strike == 1), "piece %zu, strike %d", place, strike);
+      cr_expect(is_complete == (strike == 1), "piece %zu, strike %d", position, strike);
       if (strike == 2)
-        cr_expect(last == EntryAssembly::Step::unusable && assembly.mismatches() == 1);
+        cr_expect(last == ChunkAssembler::Step::unusable && assembly.mismatches() == 1);
     }
 }
 
 Test(entry_change, one_that_builds_on_another_entry_is_asked_for_whole) {
   const auto base = content_of(entry_of(7, "seven, seven")),
              next = content_of(entry_of(8, "seven, eight"));
-  EntryAssembly assembly;
+  ChunkAssembler assembly;
   EntrySnapshot entry;
   cr_expect(assembly.take(make_change(*next, base.get())->piece(0), entry_of(6, "six"), entry) ==
-            EntryAssembly::Step::unusable);
+            ChunkAssembler::Step::unusable);
   // The same term and index, and yet another content: the digest tells.
   cr_expect(assembly.take(make_change(*next, base.get())->piece(0), entry_of(7, "never, seven"),
-                          entry) == EntryAssembly::Step::unusable);
+                          entry) == ChunkAssembler::Step::unusable);
   cr_expect(assembly.take(make_change(*next, nullptr)->piece(0), entry_of(6, "six"), entry) ==
-            EntryAssembly::Step::whole);
+            ChunkAssembler::Step::whole);
 }
 
 // A follower says that it holds an entry before its disk has it, and its process ends there: the
@@ -170,7 +171,7 @@
 // The receiver's process ends while an entry is on its way to it, at each of several places: it
 // gets the whole all the same.
 Test(entry_change, an_entry_on_its_way_is_sent_anew_to_a_receiver_that_began_anew) {
-  for (Span after(20); after <= Span(320); after += Span(60)) {
+  for (Duration after(20); after <= Duration(320); after += Duration(60)) {
     Cluster cluster(3);
     cluster.bytes_per_ms = 1000;
     cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
@@ -219,7 +220,7 @@
         cluster.wipe(away);
       else
         cluster.stop(away);
-      const Term term = cluster.at(leader).agreement->term();
+      const Term term = cluster.at(leader).raft->term();
       const auto change = [&] {
         ++version;
         token = cluster.propose(version, large_body(row.size, version));
@@ -229,24 +230,24 @@
         change();
       const std::uint64_t sent = cluster.piece_bytes_sent();
       cluster.start(away);
-      const Moment back = cluster.now();
-      Moment lead_heard = back;
-      Span longest_silence{0}, caught_up{0};
+      const TimePoint back = cluster.now();
+      TimePoint lead_heard = back;
+      Duration max_silence{0}, caught_up{0};
       const std::string back_at_version = large_body(row.size, version);
-      while (cluster.now() - back < Span(4000)) {
+      while (cluster.now() - back < Duration(4000)) {
         change();
-        const auto& agreement = *cluster.at(away).agreement;
-        if (agreement.leader_address() == leader)
+        const auto& raft = *cluster.at(away).raft;
+        if (raft.leader_address() == leader)
           lead_heard = cluster.now();
-        longest_silence = std::max(longest_silence, span_between(lead_heard, cluster.now()));
-        cr_assert(agreement.role() == Agreement::Role::follower ||
-                  agreement.role() == Agreement::Role::pre_candidate);
-        if (caught_up == Span(0) && agreement.committed() &&
-            agreement.committed()->version.value + 20 > version &&
-            std::any_of(cluster.at(leader).agreement->committed()->members.begin(),
-                        cluster.at(leader).agreement->committed()->members.end(),
-                        [&](const Member& member) { return member.id == agreement.self(); }))
-          caught_up = span_between(back, cluster.now());
+        max_silence = std::max(max_silence, elapsed(lead_heard, cluster.now()));
+        cr_assert(raft.role() == RaftNode::Role::follower ||
+                  raft.role() == RaftNode::Role::pre_candidate);
+        if (caught_up == Duration(0) && raft.committed() &&
+            raft.committed()->version.value + 20 > version &&
+            std::any_of(cluster.at(leader).raft->committed()->members.begin(),
+                        cluster.at(leader).raft->committed()->members.end(),
+                        [&](const Member& member) { return member.id == raft.self(); }))
+          caught_up = elapsed(back, cluster.now());
       }
       cr_log_info(
           "%zu bytes, %d changes, %zu bytes/ms, %s: caught up after %d ms, %d KB sent meanwhile",
@@ -256,18 +257,18 @@
       // The whole travels once, and beyond that what changes.
       cr_expect(cluster.piece_bytes_sent() - sent < row.size * 3 / 2 + 400000, "%d KB",
                 static_cast<int>((cluster.piece_bytes_sent() - sent) / 1000));
-      cr_expect(caught_up > Span(0), "%zu bytes, %d changes, wiped %d", row.size, row.changes,
+      cr_expect(caught_up > Duration(0), "%zu bytes, %d changes, wiped %d", row.size, row.changes,
                 is_wiped);
-      cr_expect(longest_silence < Span(700), "%d ms without a leader",
-                static_cast<int>(longest_silence.count()));
-      cr_expect(cluster.leader() == leader && cluster.at(leader).agreement->term() == term);
+      cr_expect(max_silence < Duration(700), "%d ms without a leader",
+                static_cast<int>(max_silence.count()));
+      cr_expect(cluster.leader() == leader && cluster.at(leader).raft->term() == term);
     }
 }
 
 // A member whose disk is slow, or stalls for two seconds, while changes follow each other: it holds
 // nobody up, is never counted for what it has not synced, and catches up while they go on.
 Test(entry_change, a_slow_or_stalled_disk_holds_nobody_up) {
-  for (const Span save_time : {Span(30), Span(300), Span(600), Span(2000)}) {
+  for (const Duration save_time : {Duration(30), Duration(300), Duration(600), Duration(2000)}) {
     Cluster cluster(3);
     cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
     const std::string leader = cluster.leader();
@@ -278,16 +279,16 @@
     auto& node = cluster.at(slow);
     node.save_time = save_time;
     std::int64_t version = 0;
-    const Moment from = cluster.now();
-    while (cluster.now() - from < Span(5000)) {
-      if (cluster.now() - from > Span(2000) && save_time == Span(2000))
-        node.save_time = Span(0);  // it stalls no more
-      const Moment asked = cluster.now();
+    const TimePoint from = cluster.now();
+    while (cluster.now() - from < Duration(5000)) {
+      if (cluster.now() - from > Duration(2000) && save_time == Duration(2000))
+        node.save_time = Duration(0);  // it stalls no more
+      const TimePoint asked = cluster.now();
       const std::uint64_t token = cluster.propose(++version, large_body(300000, version));
       cr_assert(cluster.run_until([&] { return cluster.is_done(leader, token); }, 1000ms));
-      cr_expect(cluster.now() - asked < Span(200), "the other two are a majority");
-      cr_assert(node.agreement->role() != Agreement::Role::leader);
-      cr_expect(node.disk.entry->index <= node.agreement->status(cluster.now()).last,
+      cr_expect(cluster.now() - asked < Duration(200), "the other two are a majority");
+      cr_assert(node.raft->role() != RaftNode::Role::leader);
+      cr_expect(node.disk.entry->index <= node.raft->status(cluster.now()).last,
                 "what is on disk is what was held");
     }
     cr_expect(cluster.leader() == leader);
--- a/tests/evening.h
+++ b/tests/evening.h
@@ -13,7 +13,7 @@
 
 namespace saddlewing::tests {
 
-inline constexpr Moment dawn = Moment{} + 1000s;
+inline constexpr TimePoint dawn = TimePoint{} + 1000s;
 
 enum class Ask {
   lookup,
@@ -26,7 +26,7 @@
   int id = 0;
   Ask ask{};
   std::string account;
-  Moment born{}, until{};
+  TimePoint born{}, until{};
   int tries = 0;
   bool is_gathered() const {
     return ask == Ask::typeahead;
@@ -39,7 +39,7 @@
 // Knows every write that was acknowledged, and judges what is answered by that alone.
 class Recorder {
  public:
-  void acknowledge(const Request& request, Moment now) {
+  void acknowledge(const Request& request, TimePoint now) {
     written_[request.account].push_back({request.id, now});
   }
   void land(int id) {
@@ -49,7 +49,7 @@
     ++finals_[request.id];
   }
   void judge_read(const Request& request, const std::string& account, const std::vector<int>& seen,
-                  Moment began) {
+                  TimePoint began) {
     for (const auto& [id, when] : written_[account])
       if (when < began && std::find(seen.begin(), seen.end(), id) == seen.end()) {
         ++stale;
@@ -59,7 +59,7 @@
   }
   void judge_gather(const Request& request,
                     const std::vector<std::pair<std::string, std::vector<int>>>& seen,
-                    std::size_t accounts, Moment began) {
+                    std::size_t accounts, TimePoint began) {
     std::map<std::string, int> counts;
     for (const auto& [account, writes] : seen) {
       doubling += ++counts[account] > 1;
@@ -90,11 +90,11 @@
   int stranded = 0, doubled = 0, missing = 0, lacking = 0, doubling = 0, stale = 0;
 
  private:
-  std::map<std::string, std::vector<std::pair<int, Moment>>> written_;
+  std::map<std::string, std::vector<std::pair<int, TimePoint>>> written_;
   std::map<int, int> landed_, finals_;
 };
 
-struct Evening {
+struct ShardMigrationScenario {
   enum class Strike {
     none,
     kill_leader,
@@ -112,10 +112,10 @@
   struct Flight {
     Request request;
     RingSnapshot view;
-    Moment began{};
+    TimePoint began{};
     struct Leg {
       std::size_t node;
-      Moment lands{}, back{};
+      TimePoint lands{}, back{};
       bool has_landed = false, is_back = false, is_turned_away = false;
       std::vector<int> seen;
     };
@@ -123,17 +123,17 @@
     std::vector<std::pair<std::string, std::vector<int>>> gathered;
   };
   struct Broker {
-    RingGate gate;
-    LifeId life{1};
-    Moment due{}, cut_until{}, dead_until{};
+    RingRouter gate;
+    IncarnationId incarnation{1};
+    TimePoint due{}, cut_until{}, dead_until{};
     std::vector<Request> parked;
-    TurnQueue<Request> waiting{256, 4};
+    FairQueue<Request> waiting{256, 4};
     std::vector<Flight> flights;
     std::array<Backend, 4> backends;  // its view of the nodes
   };
 
   // Options of an evening, set before it runs.
-  Span length{16000};
+  Duration length{16000};
   std::vector<std::pair<std::string, std::string>> moves_wanted = {  // unit and receiver
       {"camper-0", "quick-2"},
       {"camper-1", "quick-2"},
@@ -148,26 +148,26 @@
   MoveOptions options;
 
   Recorder recorder;
-  RingSheet sheet;
+  RingDocument document;
   RingMap ring;
   std::vector<ShardNode> nodes;
   std::array<Broker, 2> brokers;
-  std::unique_ptr<RingMoves> moves;
-  RingLoads loads{Span(20000)};
-  AccountLoads account_loads{Span(20000), 256};
+  std::unique_ptr<ShardMigration> moves;
+  RingLoads loads{Duration(20000)};
+  AccountLoads account_loads{Duration(20000), 256};
   RingReport report() {
-    RingWatch watch{WatchOptions{}};
+    RingLoadMonitor watch{WatchOptions{}};
     return watch.report(ring, loads.sums(ring.owners.size(), now), account_loads.sums(now));
   }
   std::vector<double> short_times, heavy_times;
-  Moment now = dawn;
+  TimePoint now = dawn;
   int come_backs = 0, messages = 0, last_id = 0, restarts = 0;
   bool has_struck = false;
 
-  Evening() {
-    options.lease = Span(1000);
-    options.settle = Span(1300);
-    options.longest_read = options.longest_gather = Span(700);
+  ShardMigrationScenario() {
+    options.lease = Duration(1000);
+    options.settle = Duration(1300);
+    options.max_read_duration = options.max_gather_duration = Duration(700);
     std::string file =
         "edition: 1\nrule: lookups\nvirtual_nodes: 32\nvirtual_node_memory_mb: "
         "10\nvirtual_node_disk_mb: 120\naccount_disk_mb: 40\nnodes:\n";
@@ -181,15 +181,16 @@
         "- {name: slow, zone: x, region: r, memory_mb: 900, disk_mb: 9000, disk_mb_per_s: 40}\n";
     file +=
         "- {name: far, zone: z, region: s, memory_mb: 900, disk_mb: 9000, disk_mb_per_s: 200}\n";
-    sheet = {1, file, {}, {}, {}};
-    cr_assert(!ring_of(sheet, ring));
+    document = {1, file, {}, {}, {}};
+    cr_assert(!ring_of(document, ring));
     const double disks[] = {400, 400, 40, 200}, ways[] = {1, 1, 1, 24}, works[] = {1, 1, 1.25, 1};
-    for (std::size_t place = 0; place < 4; ++place) {
+    for (std::size_t position = 0; position < 4; ++position) {
       ShardNode& node = nodes.emplace_back();
-      node.name = ring.nodes[place].name;
-      node.disk_mb_s = disks[place], node.way_ms = ways[place], node.work_times = works[place];
+      node.name = ring.nodes[position].name;
+      node.disk_mb_s = disks[position], node.way_ms = ways[position],
+      node.work_times = works[position];
       node.ring = ring;
-      free_[place].fill(dawn);
+      free_[position].fill(dawn);
     }
     // The first few accounts, the hot one among them, start on one node.
     for (int number = 0, given = 0; given < 60; ++number) {
@@ -202,7 +203,7 @@
       ++given;
     }
     for (Broker& broker : brokers) {
-      broker.gate.take(view_ring(sheet));
+      broker.gate.take(view_ring(document));
       for (Backend& backend : broker.backends)
         backend.capacity = 2;
     }
@@ -240,11 +241,11 @@
     if (now < broker.dead_until)
       return come_back(request);
     const auto way = !has_leases && request.ask != Ask::write
-                         ? RingGate::Way::pass
+                         ? RingRouter::Way::pass
                          : broker.gate.decide(request.account, request.ask != Ask::write, now);
-    if (way == RingGate::Way::come_back)
+    if (way == RingRouter::Way::come_back)
       return come_back(request);
-    if (way == RingGate::Way::wait) {
+    if (way == RingRouter::Way::wait) {
       if (now < request.until)
         broker.parked.push_back(request);
       else
@@ -254,7 +255,7 @@
     const RingSnapshot view = broker.gate.view();
     const std::size_t owner = view->map.owner_of(request.account);
     if (has_bulkheads && request.is_heavy() &&
-        !admits_heavy(broker.backends[owner], Span(5), span_between(request.born, now), now)) {
+        !admits_heavy(broker.backends[owner], Duration(5), elapsed(request.born, now), now)) {
       broker.waiting.push(request, 0, true, request.until);
       return;
     }
@@ -266,31 +267,31 @@
         loads.add(view->map.find(request.account), load, now);
     }
     Flight flight{request, view, now, {}, {}};
-    for (std::size_t place = 0; place < nodes.size(); ++place)
-      if (request.is_gathered() || place == owner) {
-        Backend& backend = broker.backends[place];
+    for (std::size_t position = 0; position < nodes.size(); ++position)
+      if (request.is_gathered() || position == owner) {
+        Backend& backend = broker.backends[position];
         ++backend.asked;
         if (request.is_heavy())
           ++backend.heavy_asked;
         else
           backend.short_asked = now;
-        const ShardNode& node = nodes[place];
-        const Moment there = now + Span(static_cast<std::int64_t>(node.way_ms / 2));
-        auto& slot = *std::min_element(free_[place].begin(), free_[place].end());
+        const ShardNode& node = nodes[position];
+        const TimePoint there = now + Duration(static_cast<std::int64_t>(node.way_ms / 2));
+        auto& slot = *std::min_element(free_[position].begin(), free_[position].end());
         const double work = (request.is_heavy()      ? 60
                              : request.is_gathered() ? 2
                                                      : 4) *
                             node.work_times * (1 + 3 * node.copying_mb_s / node.disk_mb_s);
         slot = std::max(slot, there) +
                std::chrono::microseconds(static_cast<std::int64_t>(work * 1000));
-        flight.legs.push_back({place,
+        flight.legs.push_back({position,
                                slot,
-                               slot + Span(static_cast<std::int64_t>(node.way_ms / 2)),
+                               slot + Duration(static_cast<std::int64_t>(node.way_ms / 2)),
                                false,
                                false,
                                false,
                                {}});
-        ++load_[place];
+        ++load_[position];
       }
     if (request.ask == Ask::write)
       broker.gate.start(request.account, static_cast<std::uint32_t>(owner));
@@ -343,7 +344,7 @@
         broker.gate.finish(request.account, static_cast<std::uint32_t>(flight.legs[0].node));
       if (std::any_of(flight.legs.begin(), flight.legs.end(),
                       [](const Flight::Leg& leg) { return leg.is_turned_away; })) {
-        if (broker.gate.view()->mark > flight.view->mark && now < request.until)
+        if (broker.gate.view()->revision > flight.view->revision && now < request.until)
           ++restarts, send(broker, request);
         else
           come_back(request);
@@ -367,17 +368,17 @@
   Fate meet() {
     return messages++ == fated ? fate : Fate::none;
   }
-  void order(const RingMoves::Order& order, bool is_answered) {
+  void order(const ShardMigration::Order& order, bool is_answered) {
     const auto [memory, mb] = ring.size_of(order.unit);
     const NodeAnswer answer =
         nodes[node_of(order.node)].perform(order, nodes[node_of(order.other)], mb, now);
     if (is_answered)
       moves->finish_order(order.token, answer);
   }
-  void run_core() {
-    moves->tick(true, sheet, ring, late_ <= 0.02 * std::max(50.0, lookups_) || !is_pausing, now);
+  void run_cluster_status() {
+    moves->tick(true, document, ring, late_ <= 0.02 * std::max(50.0, lookups_) || !is_pausing, now);
     lookups_ *= 0.8, late_ *= 0.8;
-    RingMoves::Output output = moves->take();
+    ShardMigration::Output output = moves->take();
     for (const auto& one : output.orders) {
       const Fate met = meet();
       if (met == Fate::late)
@@ -390,15 +391,15 @@
         order(one, false);
     }
     if (output.proposal) {
-      sheet = *output.proposal;
-      cr_assert(!ring_of(sheet, ring));
+      document = *output.proposal;
+      cr_assert(!ring_of(document, ring));
       for (ShardNode& node : nodes)
         node.ring = ring;
       moves->finish_proposal();
       std::vector<RingMove> agreed;
-      decode_moves(sheet.moves, agreed);
+      decode_moves(document.moves, agreed);
       for (const RingMove& move : agreed)
-        if (move.mark == sheet.mark && move.id == 1)
+        if (move.revision == document.revision && move.id == 1)
           strike_now(move);
     }
     if (now < dawn + 3s)
@@ -425,12 +426,12 @@
     const Fate met = meet();
     if (met == Fate::lost || met == Fate::late)
       return;  // its answer, come late, would count from the asking: the same as none
-    moves->holders().note(name, broker.life, broker.gate.confirmed(), now);
-    const Span granted = moves->holders().grant(name, broker.life, now),
-               lease = has_waits ? granted : Span(1000);
-    if (broker.gate.view()->mark < sheet.mark)
-      broker.gate.take(view_ring(sheet));
-    if (lease > Span(0))
+    moves->leases().note(name, broker.incarnation, broker.gate.confirmed(), now);
+    const Duration granted = moves->leases().grant(name, broker.incarnation, now),
+                   lease = has_waits ? granted : Duration(1000);
+    if (broker.gate.view()->revision < document.revision)
+      broker.gate.take(view_ring(document));
+    if (lease > Duration(0))
       broker.gate.set_lease(now + lease - 30ms);
     for (const Request& request : std::exchange(broker.parked, {}))
       send(broker, request);
@@ -454,12 +455,12 @@
         later_.push_back({now + 300ms, request});
       for (Request next; broker.waiting.pop(next);)
         later_.push_back({now + 300ms, next});
-      const LifeId life{broker.life.value + 1};
+      const IncarnationId incarnation{broker.incarnation.value + 1};
       broker = Broker{};
-      broker.life = life;
+      broker.incarnation = incarnation;
       broker.dead_until = now + 800ms;
       broker.due = broker.dead_until;
-      broker.gate.take(view_ring(sheet));
+      broker.gate.take(view_ring(document));
       for (Backend& backend : broker.backends)
         backend.capacity = 2;
     }
@@ -471,24 +472,24 @@
       nodes[node_of(move.to)].down_until = now + 1500ms;
   }
   void restart_core() {
-    moves = std::make_unique<RingMoves>(options);
+    moves = std::make_unique<ShardMigration>(options);
   }
 
   void step() {
     now += 1ms;
     if (++ticks_ % 50 == 0)
-      run_core();
-    for (std::size_t place = 0; place < delayed_.size();)
-      if (now >= delayed_[place].first) {
-        order(delayed_[place].second, false);
-        delayed_.erase(delayed_.begin() + static_cast<std::ptrdiff_t>(place));
+      run_cluster_status();
+    for (std::size_t position = 0; position < delayed_.size();)
+      if (now >= delayed_[position].first) {
+        order(delayed_[position].second, false);
+        delayed_.erase(delayed_.begin() + static_cast<std::ptrdiff_t>(position));
       } else {
-        ++place;
+        ++position;
       }
-    for (std::size_t place = 0; place < brokers.size(); ++place) {
-      Broker& broker = brokers[place];
+    for (std::size_t position = 0; position < brokers.size(); ++position) {
+      Broker& broker = brokers[position];
       if (now >= broker.due && now >= broker.cut_until && now >= broker.dead_until)
-        follow(broker, "broker-" + std::to_string(place));
+        follow(broker, "broker-" + std::to_string(position));
       advance(broker);
     }
     for (Flight& flight : orphans_)
@@ -519,7 +520,7 @@
   }
   void run() {
     if (!has_waits)
-      options.lease = options.settle = Span(0);
+      options.lease = options.settle = Duration(0);
     restart_core();
     while (now < dawn + length + 10s)
       step();
@@ -539,10 +540,10 @@
   std::vector<std::string> accounts;
 
  private:
-  std::array<std::array<Moment, 2>, 4> free_{};  // when each slot of a node comes free
+  std::array<std::array<TimePoint, 2>, 4> free_{};  // when each slot of a node comes free
   std::array<int, 4> load_{};
-  std::vector<std::pair<Moment, Request>> later_;
-  std::vector<std::pair<Moment, RingMoves::Order>> delayed_;
+  std::vector<std::pair<TimePoint, Request>> later_;
+  std::vector<std::pair<TimePoint, ShardMigration::Order>> delayed_;
   std::vector<Flight> orphans_;
   unsigned state_ = 7;
   int ticks_ = 0;
--- a/tests/exchange_stage.h
+++ b/tests/exchange_stage.h
@@ -46,7 +46,7 @@
 // What a plan did to a connection: a backend's port and its peer's name it, and the request that
 // the plan was of.
 struct Strike {
-  bool is_whole = false;  // it came behind the whole answer and met whoever was asked next there
+  bool is_complete = false;  // it came behind the whole answer and met whoever was asked next there
 };
 using StrikePlace = std::tuple<std::string, int, std::string>;  // backend, port of its peer, Try-Id
 
@@ -67,10 +67,10 @@
 };
 
 inline std::string value_of(const std::string& head, const std::string& name) {
-  const auto place = head.find("\r\n" + name + ": ");
-  if (place == std::string::npos)
+  const auto position = head.find("\r\n" + name + ": ");
+  if (position == std::string::npos)
     return {};
-  const auto start = place + name.size() + 4;
+  const auto start = position + name.size() + 4;
   return head.substr(start, head.find("\r\n", start) - start);
 }
 
@@ -103,51 +103,51 @@
          "Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
 }
 
-class BrokerStage {
+class ExchangeFixture {
  public:
   static constexpr std::size_t tries = 2;  // of a route
-  explicit BrokerStage(int backends, int free_give_up_ms = 15000) {
+  explicit ExchangeFixture(int backends, int free_give_up_ms = 15000) {
     for (int number = 0; number < backends; ++number)
       open_backend("b" + std::to_string(number));
-    const std::string rule = R"("host":"h","service":"s","tries":)" + std::to_string(tries) +
-                             R"(,"target_ms":100,"give_up_ms":)";
+    const std::string route = R"("host":"h","service":"s","tries":)" + std::to_string(tries) +
+                              R"(,"target_ms":100,"give_up_ms":)";
     const std::string body =
         R"({"version":1,"services":[{"name":"s","health_path":"/","most_connections":100000}],"routes":[{"path_start":"/once/","sort":"risky",)" +
-        rule + R"(800},{"path_start":"/free/","sort":"harmless",)" + rule +
+        route + R"(800},{"path_start":"/free/","sort":"harmless",)" + route +
         std::to_string(free_give_up_ms) + "}]}";
     auto view = std::make_shared<View>();
-    const Fault found = read_configuration(body, view->configuration);
+    const Error found = read_configuration(body, view->configuration);
     cr_assert(!found, "%s", found.text().c_str());
     view->is_ready = true;
     for (const Door& door : doors_) {
-      RosterEntry entry;
+      Endpoint entry;
       entry.id = door.name;
       entry.service = "s";
       entry.address = Address{"127.0.0.1", door.port}.text();
-      entry.locality = "z";
+      entry.zone = "z";
       entry.phase = Phase::ready;
       entry.status = Status::up;
       entry.capacity = 1000;
       view->backends.push_back(entry);
     }
-    Startup startup;
-    startup.ip_address = "127.0.0.1";
-    startup.locality = "z";
-    startup.region = "r";
-    startup.localities = {{"z", "r"}};
-    startup.file_handles = 3000;
-    startup.retry_share = 50;  // the allowance is another test's matter
-    startup.grace = Span(750);
+    NodeSettings settings;
+    settings.ip_address = "127.0.0.1";
+    settings.zone = "z";
+    settings.region = "r";
+    settings.zones = {{"z", "r"}};
+    settings.file_handles = 3000;
+    settings.retry_share = 50;  // the allowance is another test's matter
+    settings.grace = Duration(750);
     for (int port = 41000 + ::getpid() % 4000; !broker_ && port < 60000; port += 2) {
-      startup.front = {"127.0.0.1", port};
-      startup.ready_check = {"127.0.0.1", port + 1};
-      broker_ = std::make_unique<Traffic>(startup, LifeId{7});
+      settings.front = {"127.0.0.1", port};
+      settings.ready_check = {"127.0.0.1", port + 1};
+      broker_ = std::make_unique<BrokerLoop>(settings, IncarnationId{7});
       if (broker_->open())
         broker_.reset();
     }
     cr_assert(broker_ != nullptr);
-    port_ = startup.front.port;
-    broker_->set_sender([this](AidOut) {
+    port_ = settings.front.port;
+    broker_->set_sender([this](DelegationMessage) {
       held_.release();
       resumed_.acquire();
       return true;
@@ -159,7 +159,7 @@
       status = ask(request_of("GET", "/free/0", "warm-" + std::to_string(count))).status();
     }
   }
-  ~BrokerStage() {
+  ~ExchangeFixture() {
     broker_->leave();
     broker_->join();
     for (const auto& [socket, line] : lines_)
@@ -173,7 +173,7 @@
     for (Exchange& exchange : exchanges)
       if (exchange.socket < 0)
         begin(exchange);
-    const Moment until = Clock::now() + 60s;
+    const TimePoint until = Clock::now() + 60s;
     while (std::ranges::any_of(exchanges,
                                [](const Exchange& exchange) { return !exchange.is_over; })) {
       cr_assert(Clock::now() < until, "no end");
@@ -189,7 +189,8 @@
   // The broker's traffic stands still from here to `resume`, as a frozen process does: asked for
   // aid, it waits to send.
   void freeze() {
-    broker_->tell(AidIn{"nobody", {1, "GET", "aid", "", "", {"unknown"}, 1, 1000, 1}});
+    broker_->tell(
+        DelegationRequested{"nobody", {1, "GET", "aid", "", "", {"unknown"}, 1, 1000, 1}});
     held_.acquire();
   }
   void resume() {
@@ -215,8 +216,8 @@
   const std::vector<Run>& runs(const std::string& try_id) {
     return runs_[try_id];
   }
-  const Strike* strike_at(const StrikePlace& place) const {  // null: none
-    const auto found = strikes_.find(place);
+  const Strike* strike_at(const StrikePlace& position) const {  // null: none
+    const auto found = strikes_.find(position);
     return found == strikes_.end() ? nullptr : &found->second;
   }
   bool has_met(const std::string& try_id) const {
@@ -364,10 +365,10 @@
   void serve(int socket) {
     Line& line = lines_[socket];
     std::string bytes(65536, '\0');
-    const auto take = [&](std::size_t most,
+    const auto take = [&](std::size_t limit,
                           int how) {  // false: nothing more for now, or it has ended
       const auto got =
-          ::recv(socket, bytes.data(), std::min(most, bytes.size()), how | MSG_DONTWAIT);
+          ::recv(socket, bytes.data(), std::min(limit, bytes.size()), how | MSG_DONTWAIT);
       if (got <= 0 && !(got < 0 && errno == EAGAIN))
         lose(socket, Trouble::close);
       bytes.resize(got > 0 ? static_cast<std::size_t>(got) : 0);
@@ -395,13 +396,13 @@
     }
     const Plan plan = line.plan;
     const bool fails_early = plan.trouble != Trouble::none && !plan.is_in_answer;
-    const std::size_t most = fails_early ? std::min(plan.point, line.size) : line.size;
-    if (line.in.size() < most) {
+    const std::size_t limit = fails_early ? std::min(plan.point, line.size) : line.size;
+    if (line.in.size() < limit) {
       bytes.resize(65536);
-      if (!take(most - line.in.size(), 0))
+      if (!take(limit - line.in.size(), 0))
         return;
       line.in += bytes;
-      if (line.in.size() < most)
+      if (line.in.size() < limit)
         return;
     }
     const std::string try_id = line.try_id, read = std::exchange(line.in, {});
@@ -410,22 +411,22 @@
           {line.backend, read.substr(0, line.end_of_head), read.substr(line.end_of_head + 2)});
     line.size = 0;
     send_all(socket, std::exchange(line.late_surplus, plan.late_surplus));
-    bool is_whole = false;  // behind a whole answer a silence is the next request's, and that has a
-                            // plan of its own
+    bool is_complete = false;  // behind a whole answer a silence is the next request's, and that
+                               // has a plan of its own
     if (!fails_early) {
       std::string answer =
           plan.is_refused ? not_run_answer(try_id) : good_answer(try_id, line.backend);
-      is_whole = plan.trouble == Trouble::none || plan.point >= answer.size();
-      if (!is_whole)
+      is_complete = plan.trouble == Trouble::none || plan.point >= answer.size();
+      if (!is_complete)
         answer.resize(plan.point);
       send_all(socket, answer + plan.surplus);
     }
     if (plan.trouble != Trouble::none)
       met_.insert(try_id);
-    if (plan.trouble != Trouble::none && !(plan.trouble == Trouble::silence && is_whole))
-      strikes_[{line.backend, line.port, try_id}] = {is_whole};
+    if (plan.trouble != Trouble::none && !(plan.trouble == Trouble::silence && is_complete))
+      strikes_[{line.backend, line.port, try_id}] = {is_complete};
     if (plan.trouble == Trouble::silence)
-      line.is_mute = !is_whole;
+      line.is_mute = !is_complete;
     else if (plan.trouble != Trouble::none)
       lose(socket, plan.trouble);
   }
@@ -433,7 +434,7 @@
   std::vector<Door> doors_;
   std::map<int, Line> lines_;
   std::binary_semaphore held_{0}, resumed_{0};
-  std::unique_ptr<Traffic> broker_;
+  std::unique_ptr<BrokerLoop> broker_;
   int port_ = 0;
   std::map<std::string, std::vector<Run>> runs_;
   std::set<std::string> reached_, met_;
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -24,7 +24,7 @@
 
 // None to the wrong caller, none that may not be repeated twice, none changed, none on more
 // backends than its tries.
-void check(BrokerStage& stage, const Case& played, const Exchange& came) {
+void check(ExchangeFixture& stage, const Case& played, const Exchange& came) {
   const char* name = played.try_id.c_str();
   const auto& runs = stage.runs(played.try_id);
   for (const Run& run : runs) {
@@ -48,7 +48,7 @@
   cr_expect(came.in.empty(), "%s got bytes that are no answer", name);
 }
 
-void play_cases(BrokerStage& stage, const std::vector<Case>& cases,
+void play_cases(ExchangeFixture& stage, const std::vector<Case>& cases,
                 std::vector<Exchange>& exchanges) {
   exchanges.assign(cases.size(), {});
   for (std::size_t index = 0; index < cases.size(); ++index)
@@ -61,12 +61,13 @@
 
 // Why an asking brought no answer, by what the stage did: struck itself, or over a connection that
 // had ended behind the answer before. Empty: for no reason that is known.
-std::string reason_of(const BrokerStage& stage, const AskingLog::Asking& asking) {
-  const Strike* own = stage.strike_at({asking.backend, asking.port, asking.try_id});
-  if (own && !own->is_whole && asking.has_sent)
+std::string reason_of(const ExchangeFixture& stage, const AttemptLog::Attempt& attempting) {
+  const Strike* own = stage.strike_at({attempting.backend, attempting.port, attempting.try_id});
+  if (own && !own->is_complete && attempting.has_sent)
     return "struck";
-  const Strike* before = stage.strike_at({asking.backend, asking.port, asking.before});
-  if (before && before->is_whole && asking.is_reused && asking.has_sent && asking.has_broken_down)
+  const Strike* before = stage.strike_at({attempting.backend, attempting.port, attempting.before});
+  if (before && before->is_complete && attempting.is_reused && attempting.has_sent &&
+      attempting.has_broken_down)
     return "ended before";
   return "";
 }
@@ -74,26 +75,26 @@
 // Each try of a request that was not served has to be accounted for. Which connection comes next is
 // chance, and an end that is on its way while a request leaves cannot be known: such a try may be
 // lost, and with it the request.
-void check_unserved(const BrokerStage& stage, const AskingLog& log, const std::string& try_id,
+void check_unserved(const ExchangeFixture& stage, const AttemptLog& log, const std::string& try_id,
                     int status) {
-  const auto askings = log.of(try_id);
+  const auto attempts = log.of(try_id);
   std::string told;
-  bool is_accounted_for = askings.size() == BrokerStage::tries;
-  for (const AskingLog::Asking& asking : askings) {
-    const std::string reason = reason_of(stage, asking);
+  bool is_accounted_for = attempts.size() == ExchangeFixture::tries;
+  for (const AttemptLog::Attempt& attempting : attempts) {
+    const std::string reason = reason_of(stage, attempting);
     is_accounted_for &= !reason.empty();
-    told += "\n  " + asking.text() + ": " + (reason.empty() ? "for no reason" : reason);
+    told += "\n  " + attempting.text() + ": " + (reason.empty() ? "for no reason" : reason);
   }
   cr_expect(is_accounted_for, "%s got %d after%s", try_id.c_str(), status, told.c_str());
 }
 
-constexpr std::size_t most_points = 230;  // beyond the size of each request and answer
+constexpr std::size_t max_points = 230;  // beyond the size of each request and answer
 
 }  // namespace
 
 Test(exchange, whatever_breaks_at_whichever_byte_of_a_request_or_answer_none_goes_astray) {
-  AskingLog log;
-  BrokerStage stage(3);
+  AttemptLog log;
+  ExchangeFixture stage(3);
   std::vector<Case> cases;
   std::vector<Exchange> exchanges;
   const auto play = [&] {
@@ -110,7 +111,7 @@
   };
   for (const Trouble trouble : {Trouble::reset, Trouble::close, Trouble::silence})
     for (const bool is_in_answer : {false, true})
-      for (std::size_t point = 0; point < most_points; ++point)
+      for (std::size_t point = 0; point < max_points; ++point)
         for (const bool is_once : {false, true}) {
           const std::string try_id = std::to_string(static_cast<int>(trouble)) +
                                      (is_in_answer ? "a" : "r") + (is_once ? "o" : "f") +
@@ -128,7 +129,7 @@
 }
 
 Test(exchange, no_try_runs_on_more_backends_than_its_route_allows) {
-  BrokerStage stage(4, 1500);
+  ExchangeFixture stage(4, 1500);
   std::vector<Case> cases;
   std::vector<Exchange> exchanges;
   for (const Trouble trouble : {Trouble::reset, Trouble::close, Trouble::silence})
@@ -146,7 +147,7 @@
 
 // Bodies that a socket does not take at once: part of them has left when the connection ends.
 Test(exchange, a_request_that_left_in_part_is_not_sent_again_if_it_may_run_once) {
-  BrokerStage stage(3);
+  ExchangeFixture stage(3);
   std::vector<Case> cases;
   std::vector<Exchange> exchanges;
   for (const Trouble trouble : {Trouble::reset, Trouble::close, Trouble::silence})
@@ -172,7 +173,7 @@
 // A second answer, one to another request, one of nobody's: none of them is taken for the next
 // one's, nor for its own.
 Test(exchange, surplus_answers_reach_nobody) {
-  BrokerStage stage(2);
+  ExchangeFixture stage(2);
   std::vector<Case> cases;
   std::vector<Exchange> exchanges;
   for (int round = 0; round < 6; ++round) {
@@ -198,7 +199,7 @@
 
 // The refusal says not whose it is, and came where the next one's answer was due.
 Test(exchange, a_refusal_without_an_id_on_a_connection_used_before_is_not_believed) {
-  BrokerStage stage(1);
+  ExchangeFixture stage(1);
   stage.plans["first"].late_surplus = not_run_answer({});
   cr_assert(stage.ask(case_of("first", false).request).status() == 200);
   const Case once = case_of("second", true);
@@ -211,7 +212,7 @@
 // Turned away and asked again at the only backend: the refusal's second copy must not be taken for
 // the new asking's answer.
 Test(exchange, a_request_is_never_asked_twice_over_one_connection) {
-  BrokerStage stage(1);
+  ExchangeFixture stage(1);
   const Case once = case_of("again", true);
   stage.plans["again"].is_refused = true;
   stage.plans["again"].late_surplus = not_run_answer("again");
@@ -224,7 +225,7 @@
 // A surplus answer that was cut runs together with its own, and its copy looks like a refusal
 // behind a surplus one.
 Test(exchange, behind_a_surplus_answer_no_refusal_is_believed) {
-  BrokerStage stage(1);
+  ExchangeFixture stage(1);
   for (const char* surplus : {"HTTP/1.1 200 OK\r\nTry-Id: cut",
                               "HTTP/1.1 200 OK\r\nTry-Id: other\r\nContent-Length: 0\r\n\r\n"}) {
     const std::string name = std::string(surplus).size() < 40 ? "cut" : "whole";
@@ -246,7 +247,7 @@
 // counted meanwhile are as they may be.
 template <class CheckRound>
 void wake_to_ended_connections(int backends, bool is_once, const CheckRound& check_round) {
-  BrokerStage stage(backends);
+  ExchangeFixture stage(backends);
   for (int round = 0; round < 12; ++round) {
     std::vector<Exchange> clients(8);
     for (std::size_t number = 0; number < clients.size(); ++number) {
@@ -286,7 +287,7 @@
 // Clients that leave at each byte of their request or of the answer, beside others that take their
 // places.
 Test(exchange, a_client_that_left_costs_no_other_its_answer) {
-  BrokerStage stage(2);
+  ExchangeFixture stage(2);
   const std::size_t size = case_of("l-000", true).request.size();
   for (const bool is_once : {false, true})
     for (std::size_t from = 0; from <= size; from += 40) {
@@ -322,8 +323,8 @@
 }
 
 Test(exchange, pipelined_requests_get_their_own_answers_in_their_order) {
-  AskingLog log;
-  BrokerStage stage(2);
+  AttemptLog log;
+  ExchangeFixture stage(2);
   std::vector<Exchange> exchanges(30);
   std::vector<std::vector<Case>> cases(exchanges.size());
   for (std::size_t line = 0; line < exchanges.size(); ++line)
@@ -345,8 +346,8 @@
       one.bodies = {exchanges[line].bodies[number]};
       check(stage, cases[line][number], one);
       std::string told;
-      for (const AskingLog::Asking& asking : log.of(cases[line][number].try_id))
-        told += "; " + asking.text() + ": " + reason_of(stage, asking);
+      for (const AttemptLog::Attempt& attempting : log.of(cases[line][number].try_id))
+        told += "; " + attempting.text() + ": " + reason_of(stage, attempting);
       cr_expect(one.status() == 200, "%s got %d%s", cases[line][number].try_id.c_str(),
                 one.status(), told.c_str());
     }
@@ -360,7 +361,7 @@
   cr_assert(::pthread_attr_init(&small) == 0 &&
             ::pthread_attr_setstacksize(&small, 512 << 10) == 0 &&
             ::pthread_setattr_default_np(&small) == 0);
-  BrokerStage stage(2);
+  ExchangeFixture stage(2);
   std::vector<Exchange> exchanges(1);
   exchanges[0].requests = {case_of("slow", false).request};
   stage.plans["slow"] = {Trouble::silence, true, 0};
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -19,13 +19,13 @@
     std::string id;
     bool is_up = true, is_leader = false, is_ready = true, is_beating = true;
     std::uint64_t term = 1, number = 10;
-    Moment beaten{};
+    TimePoint last_heartbeat{};
   };
   struct Pooler {
-    std::string name, locality;
-    LifeId life{1};
-    LeadTable table;
-    Moment until{}, due{};
+    std::string name, zone;
+    IncarnationId incarnation{1};
+    LeadershipTable table;
+    TimePoint until{}, due{};
     bool is_silent = false, sees_failing = false;
   };
   explicit World(int sync = 0) : sync(sync) {
@@ -48,22 +48,22 @@
   void step() {
     now += 50ms;
     for (Database& database : databases)
-      if (database.is_up && database.is_beating && now - database.beaten >= 1000ms)
-        database.beaten = now;
-    std::vector<DatabaseSeat> seats;
+      if (database.is_up && database.is_beating && now - database.last_heartbeat >= 1000ms)
+        database.last_heartbeat = now;
+    std::vector<DatabaseEndpoint> seats;
     for (const Database& database : databases)
-      seats.push_back(
-          {database.id, "db", "here", database.is_leader, database.is_ready, database.beaten});
+      seats.push_back({database.id, "db", "here", database.is_leader, database.is_ready,
+                       database.last_heartbeat});
     for (Pooler& pooler : poolers) {
       if (pooler.is_silent || now < pooler.due)
         continue;
       pooler.due = now + 200ms;
       const std::string bit(1, '\1');
-      failover->note_pooler(pooler.name, pooler.life, pooler.table.mark, pooler.locality,
-                            pooler.sees_failing ? bit : "", pooler.sees_failing ? "" : bit, now);
-      if (const auto hold = failover->grant(pooler.name, pooler.life, now))
-        pooler.until = now + *hold - 20ms;  // asked before
-      if (agreed.mark > pooler.table.mark)
+      failover->record_pooler(pooler.name, pooler.incarnation, pooler.table.revision, pooler.zone,
+                              pooler.sees_failing ? bit : "", pooler.sees_failing ? "" : bit, now);
+      if (const auto lease = failover->grant(pooler.name, pooler.incarnation, now))
+        pooler.until = now + *lease - 20ms;  // asked before
+      if (agreed.revision > pooler.table.revision)
         pooler.table = agreed;
     }
     failover->tick(true, agreed, {{"db", sync}}, seats, now);
@@ -84,24 +84,24 @@
       }
       failover->finish_order(order.token, status, now);
     }
-    for (const auto& raise : output.raises) {
+    for (const auto& promote : output.raises) {
       ++raises;
       // Nobody may still act by the old lead, and what was acknowledged must be there.
       for (const Pooler& pooler : poolers) {
-        const Lead* lead = pooler.table.find("db");
-        cr_assert(!lead || lead->phase != Lead::Phase::led || pooler.until < now,
+        const DatabaseLeadership* lead = pooler.table.find("db");
+        cr_assert(!lead || lead->phase != DatabaseLeadership::Phase::led || pooler.until < now,
                   "%s may still use the old leader", pooler.name.c_str());
       }
       if (is_planned || sync)
-        cr_assert(at(raise.id).number >= acknowledged, "%s lacks what was acknowledged",
-                  raise.id.c_str());
+        cr_assert(at(promote.id).number >= acknowledged, "%s lacks what was acknowledged",
+                  promote.id.c_str());
       if (is_struck()) {  // neither effect nor answer
-        failover->finish_raise(raise.token, 0, now);
+        failover->finish_promotion(promote.token, 0, now);
         continue;
       }
-      Database& target = at(raise.id);
+      Database& target = at(promote.id);
       if (!target.is_up) {
-        failover->finish_raise(raise.token, 409, now);
+        failover->finish_promotion(promote.token, 409, now);
         continue;
       }
       if (!target.is_leader) {
@@ -111,7 +111,7 @@
         target.is_leader = true;
         target.term = term + 1;
       }
-      failover->finish_raise(raise.token, is_struck() ? 0 : 200, now);
+      failover->finish_promotion(promote.token, is_struck() ? 0 : 200, now);
     }
     if (output.proposal) {
       if (!is_struck())
@@ -126,8 +126,8 @@
     return ++points == strike_at;
   }
   bool is_led_by(const std::string& id) const {
-    const Lead* lead = agreed.find("db");
-    return lead && lead->phase == Lead::Phase::led && lead->id == id;
+    const DatabaseLeadership* lead = agreed.find("db");
+    return lead && lead->phase == DatabaseLeadership::Phase::led && lead->id == id;
   }
   bool run_until(const std::function<bool()>& is_there, int steps = 600) {
     while (steps-- > 0) {
@@ -151,8 +151,8 @@
   std::vector<Database> databases;
   std::vector<Pooler> poolers;
   std::unique_ptr<Failover> failover;
-  LeadTable agreed;
-  Moment now = Moment{} + 1000s;
+  LeadershipTable agreed;
+  TimePoint now = TimePoint{} + 1000s;
   int sync, points = 0, strike_at = 0, raises = 0;
   std::uint64_t acknowledged = 0;
   bool is_planned = false;
@@ -230,7 +230,7 @@
   world.poolers[2].is_silent = true;
   world.at("a").is_up = false;
   world.see_failing(true);
-  const Moment since = world.poolers[2].until;
+  const TimePoint since = world.poolers[2].until;
   cr_expect(world.run_until([&] { return world.raises > 0; }));
   cr_expect(world.now > since);
 }
@@ -263,8 +263,8 @@
   world.at("a").is_up = false;
   world.see_failing(true);
   world.poolers[2].is_silent = true;  // its hold keeps the change waiting
-  cr_expect(
-      world.run_until([&] { return world.agreed.find("db")->phase == Lead::Phase::closing; }));
+  cr_expect(world.run_until(
+      [&] { return world.agreed.find("db")->phase == DatabaseLeadership::Phase::closing; }));
   world.at("a").is_up = true;
   world.see_failing(false);
   cr_expect(world.run_until([&] { return world.is_led_by("a"); }));
@@ -272,13 +272,13 @@
 }
 
 Test(samples, a_place_is_never_taken_for_younger_than_it_is) {
-  Samples own, other;
-  const Moment start = Moment{} + 1000s;
+  LogPositionSamples own, other;
+  const TimePoint start = TimePoint{} + 1000s;
   own.note("db", 3, {1, 40}, start);
-  const std::string told = own.tell(start + 300ms, Span(1000));
+  const std::string told = own.tell(start + 300ms, Duration(1000));
   cr_assert(other.take(told, start + 250ms));  // the asking left before the ages were counted
   cr_expect(!other.find("db", 3, start).is_known(), "it may be older than the moment asked for");
-  cr_expect(other.find("db", 3, start - 60ms) == LogPlace({1, 40}));
+  cr_expect(other.find("db", 3, start - 60ms) == LogPosition({1, 40}));
   cr_expect(!other.find("db", 4, start - 60ms).is_known(), "of another lead");
   cr_expect(!other.take(told.substr(0, told.size() - 3), start));
 }
--- a/tests/feed_test.cpp
+++ b/tests/feed_test.cpp
@@ -12,36 +12,36 @@
 
 namespace {
 
-constexpr Moment start = Moment{} + 1000s;
-constexpr Span follow{400}, eager{50}, unconfirmed_wait{2000};
-constexpr LifeId life{7};
+constexpr TimePoint start = TimePoint{} + 1000s;
+constexpr Duration follow{400}, eager{50}, unconfirmed_wait{2000};
+constexpr IncarnationId incarnation{7};
 
-struct Registry {
+struct ServiceRegistry {
   bool is_confirmed = true, is_up = true, is_leader = false;
-  bool hears = true, is_heard = true;  // the ways from the broker and to it
-  std::string locality = "there", region = "south";
+  bool hears = true, is_reachable = true;  // the ways from the broker and to it
+  std::string zone = "there", region = "south";
   std::vector<std::string> registries;
   Version version{5};
   std::uint64_t token = 0;  // of the last follow that came
 };
 
 struct World {
-  std::map<std::string, Registry> registries;
-  Feed feed{{"here", "north", follow, unconfirmed_wait}, life, start};
-  Moment now = start, due = start;
-  Span way{40};
+  std::map<std::string, ServiceRegistry> registries;
+  ControlSourceSelector selector{{"here", "north", follow, unconfirmed_wait}, incarnation, start};
+  TimePoint now = start, due = start;
+  Duration way{40};
   bool is_ready = false;
-  Feed::Ready how = Feed::Ready::no;
+  ControlSourceSelector::Ready how = ControlSourceSelector::Ready::no;
   Version serving;
   std::set<std::string> asked;  // ever
   std::string last_feed;
   int changes = 0;
   struct Flying {
-    Moment due;
+    TimePoint due;
     std::string address;
     std::uint64_t token;
     bool is_answer;
-    Beat beat;
+    ControlHeartbeat heartbeat;
   };
   std::vector<Flying> flying;
 
@@ -49,33 +49,33 @@
     asked.insert(address);
     const auto found = registries.find(address);
     if (found != registries.end() && found->second.is_up && found->second.hears)
-      flying.push_back({now + way, address, feed.token(), false, {}});
+      flying.push_back({now + way, address, selector.token(), false, {}});
   }
   void choose() {
-    if (const auto chosen = feed.choose(now))
+    if (const auto chosen = selector.choose(now))
       ask(*chosen);
-    if (feed.chosen() != last_feed)
-      ++changes, last_feed = feed.chosen();
+    if (selector.chosen() != last_feed)
+      ++changes, last_feed = selector.chosen();
   }
   void tell(const std::string& address) {
-    Registry& registry = registries[address];
-    if (!registry.is_heard)
+    ServiceRegistry& registry = registries[address];
+    if (!registry.is_reachable)
       return;
-    Beat beat;
-    beat.term = Term{1};
-    beat.asker = life;
-    beat.token = registry.token;
-    beat.version = registry.version;
-    beat.is_confirmed = registry.is_confirmed;
-    beat.is_leader = registry.is_leader;
-    beat.is_filled = true;
-    beat.locality = registry.locality;
-    beat.region = registry.region;
-    beat.registries = registry.registries;
-    flying.push_back({now + way, address, 0, true, beat});
+    ControlHeartbeat heartbeat;
+    heartbeat.term = Term{1};
+    heartbeat.requester = incarnation;
+    heartbeat.token = registry.token;
+    heartbeat.version = registry.version;
+    heartbeat.is_confirmed = registry.is_confirmed;
+    heartbeat.is_leader = registry.is_leader;
+    heartbeat.is_filled = true;
+    heartbeat.zone = registry.zone;
+    heartbeat.region = registry.region;
+    heartbeat.registries = registry.registries;
+    flying.push_back({now + way, address, 0, true, heartbeat});
   }
-  void run(Span span) {
-    for (const Moment end = now + span; now < end; now += 10ms) {
+  void run(Duration span) {
+    for (const TimePoint end = now + span; now < end; now += 10ms) {
       std::vector<Flying> came;
       std::copy_if(flying.begin(), flying.end(), std::back_inserter(came),
                    [&](const Flying& one) { return one.due <= now; });
@@ -88,38 +88,38 @@
           tell(one.address);
           continue;
         }
-        const bool was_confirmed = feed.is_confirmed(feed.chosen(), now);
-        feed.take(one.address, one.beat, now);
-        feed.take_roster(one.address);
-        serving = std::max(serving, one.beat.version);
+        const bool was_confirmed = selector.is_confirmed(selector.chosen(), now);
+        selector.take(one.address, one.heartbeat, now);
+        selector.handle_endpoints(one.address);
+        serving = std::max(serving, one.heartbeat.version);
         if (!is_ready || !was_confirmed)
           choose();
       }
       if (now >= due) {
-        feed.turn(now);
+        selector.turn(now);
         due = now + (is_ready ? follow : eager);
-        std::size_t place = 0;
+        std::size_t position = 0;
         std::vector<std::string> to;
-        for (const auto& [address, source] : feed.sources())
-          if (feed.should_ask(address, ++place, is_ready, now))
+        for (const auto& [address, source] : selector.sources())
+          if (selector.should_ask(address, ++position, is_ready, now))
             to.push_back(address);
         for (const std::string& address : to)
           ask(address);
         choose();
       }
       if (!is_ready && serving.value)
-        if ((how = feed.judge(serving, now)) != Feed::Ready::no)
+        if ((how = selector.judge(serving, now)) != ControlSourceSelector::Ready::no)
           is_ready = true;
     }
   }
   // How long until the feed is one with a majority behind it.
-  Span until_confirmed(Span most) {
-    const Moment began = now;
-    while (now - began < most &&
-           !(registries.contains(feed.chosen()) && registries[feed.chosen()].is_confirmed &&
-             feed.is_confirmed(feed.chosen(), now)))
+  Duration until_confirmed(Duration limit) {
+    const TimePoint began = now;
+    while (now - began < limit &&
+           !(registries.contains(selector.chosen()) && registries[selector.chosen()].is_confirmed &&
+             selector.is_confirmed(selector.chosen(), now)))
       run(10ms);
-    return span_between(began, now);
+    return elapsed(began, now);
   }
 };
 
@@ -129,151 +129,154 @@
   World world;
   for (const std::string& address : all)
     world.registries[address].registries = all;
-  world.registries["a:1"].locality = "here";
+  world.registries["a:1"].zone = "here";
   world.registries["a:1"].region = "north";
   return world;
 }
 
 }  // namespace
 
-Test(feed, the_nearest_confirmed_registry_feeds) {
+Test(selector, the_nearest_confirmed_registry_feeds) {
   World world = three();
-  world.feed.set_seeds({"b:1"}, start);
+  world.selector.set_seeds({"b:1"}, start);
   world.run(3s);
-  cr_expect(world.how == Feed::Ready::confirmed && world.feed.chosen() == "a:1",
-            "it learnt of the near one from another");
+  cr_expect(
+      world.how == ControlSourceSelector::Ready::confirmed && world.selector.chosen() == "a:1",
+      "it learnt of the near one from another");
   const int before = world.changes;
   world.run(20s);
   cr_expect(world.changes == before, "and stays with it");
 }
 
-Test(feed, a_feed_cut_off_from_the_core_is_left_at_once) {
+Test(selector, a_feed_cut_off_from_the_core_is_left_at_once) {
   for (int point = 0; point < 40; ++point) {
     World world = three();
-    world.feed.set_seeds(all, start);
-    world.run(3s + Span(point * 20));
-    cr_assert(world.feed.chosen() == "a:1");
+    world.selector.set_seeds(all, start);
+    world.run(3s + Duration(point * 20));
+    cr_assert(world.selector.chosen() == "a:1");
     world.registries["a:1"].is_confirmed = false;  // it has noticed
     cr_expect(world.until_confirmed(5s) <= follow + world.way * 4, "point %d", point);
   }
 }
 
 // Its beats go on, but they answer nothing that was asked since: to be heard is not enough.
-Test(feed, a_feed_that_does_not_hear_is_left) {
+Test(selector, a_feed_that_does_not_hear_is_left) {
   for (const bool has_majority : {true, false})
     for (const bool is_deaf : {true, false}) {
       World world = three();
       for (auto& [address, registry] : world.registries)
         registry.is_confirmed = has_majority;
-      world.feed.set_seeds(all, start);
+      world.selector.set_seeds(all, start);
       world.run(4s);
-      cr_assert(world.feed.chosen() == "a:1");
-      (is_deaf ? world.registries["a:1"].hears : world.registries["a:1"].is_heard) = false;
-      const Moment cut = world.now;
-      while (world.feed.chosen() == "a:1" && world.now - cut < 10s) {
+      cr_assert(world.selector.chosen() == "a:1");
+      (is_deaf ? world.registries["a:1"].hears : world.registries["a:1"].is_reachable) = false;
+      const TimePoint cut = world.now;
+      while (world.selector.chosen() == "a:1" && world.now - cut < 10s) {
         world.tell("a:1");
         world.run(100ms);
       }
-      cr_expect(span_between(cut, world.now) <= follow * 5, "majority %d, deaf %d", has_majority,
+      cr_expect(elapsed(cut, world.now) <= follow * 5, "majority %d, deaf %d", has_majority,
                 is_deaf);
     }
 }
 
 // All its first contacts are on the wrong side: what they tell of is tried, and nothing known is
 // dropped for it.
-Test(feed, a_broker_started_on_the_wrong_side_finds_the_majority) {
+Test(selector, a_broker_started_on_the_wrong_side_finds_the_majority) {
   World world;
   const std::vector<std::string> core{"a:1", "b:1", "c:1", "d:1", "e:1"};
   for (const std::string& address : core)
     world.registries[address].registries = core;
   for (const char* cut : {"a:1", "b:1"})
     world.registries[cut].is_confirmed = false, world.registries[cut].version = Version{4};
-  world.feed.set_seeds({"a:1", "b:1"}, start);
+  world.selector.set_seeds({"a:1", "b:1"}, start);
   world.run(1s);
-  cr_expect(world.is_ready && world.how == Feed::Ready::confirmed && world.serving == Version{5});
-  cr_expect(world.registries[world.feed.chosen()].is_confirmed);
-  cr_expect(world.feed.sources().contains("a:1") && world.feed.sources().contains("b:1"),
+  cr_expect(world.is_ready && world.how == ControlSourceSelector::Ready::confirmed &&
+            world.serving == Version{5});
+  cr_expect(world.registries[world.selector.chosen()].is_confirmed);
+  cr_expect(world.selector.sources().contains("a:1") && world.selector.sources().contains("b:1"),
             "seeds are kept");
 }
 
 // The one that led is gone as well, and still counts as heard for a moment.
-Test(feed, a_ready_broker_whose_known_registries_are_all_cut_off_tries_what_they_tell_of) {
+Test(selector, a_ready_broker_whose_known_registries_are_all_cut_off_tries_what_they_tell_of) {
   for (int point = 0; point < 16; ++point) {
     World world;
     for (const char* address : {"a:1", "b:1"})
       world.registries[address].registries = {"a:1", "b:1"};
-    world.registries["a:1"].locality = "here";
+    world.registries["a:1"].zone = "here";
     world.registries["b:1"].is_leader = true;
-    world.feed.set_seeds({"a:1", "b:1"}, start);
-    world.run(3s + Span(point * 100));
-    cr_assert(world.how == Feed::Ready::confirmed && world.feed.chosen() == "a:1");
+    world.selector.set_seeds({"a:1", "b:1"}, start);
+    world.run(3s + Duration(point * 100));
+    cr_assert(world.how == ControlSourceSelector::Ready::confirmed &&
+              world.selector.chosen() == "a:1");
     world.registries["b:1"].is_up = false;
     world.registries["a:1"].is_confirmed = false;
     world.registries["a:1"].registries = {"a:1", "c:1"};
     world.registries["c:1"].registries = {"c:1"};
-    const Moment cut = world.now;
-    while (world.feed.chosen() != "c:1" && world.now - cut < 10s)
+    const TimePoint cut = world.now;
+    while (world.selector.chosen() != "c:1" && world.now - cut < 10s)
       world.run(10ms);
     cr_expect(world.now - cut <= follow * 5 + world.way * 4, "point %d: %d ms", point,
-              static_cast<int>(span_between(cut, world.now).count()));
-    cr_expect(world.feed.chosen() == "c:1" && world.feed.sources().contains("a:1"));
+              static_cast<int>(elapsed(cut, world.now).count()));
+    cr_expect(world.selector.chosen() == "c:1" && world.selector.sources().contains("a:1"));
   }
 }
 
-Test(feed, good_addresses_outlive_the_contacts) {
+Test(selector, good_addresses_outlive_the_contacts) {
   World world = three();
-  world.feed.set_seeds({"a:1"}, start);
+  world.selector.set_seeds({"a:1"}, start);
   world.run(3s);
   world.registries["a:1"].is_up = false;
-  world.feed.set_seeds({}, world.now);
+  world.selector.set_seeds({}, world.now);
   world.run(4s);
-  cr_expect(world.feed.chosen() == "b:1" || world.feed.chosen() == "c:1", "%s",
-            world.feed.chosen().c_str());
-  cr_expect(world.feed.is_confirmed(world.feed.chosen(), world.now));
+  cr_expect(world.selector.chosen() == "b:1" || world.selector.chosen() == "c:1", "%s",
+            world.selector.chosen().c_str());
+  cr_expect(world.selector.is_confirmed(world.selector.chosen(), world.now));
   // One that knows nobody better tells of nobody: nothing is forgotten.
   world.registries["b:1"].is_confirmed = world.registries["c:1"].is_confirmed = false;
   world.registries["b:1"].registries = world.registries["c:1"].registries = {};
   world.run(5s);
-  cr_expect(world.feed.sources().size() >= 2);
+  cr_expect(world.selector.sources().size() >= 2);
   world.registries["c:1"].is_confirmed = true;
   cr_expect(world.until_confirmed(5s) <= follow * 2);
 }
 
-Test(feed, without_any_majority_a_broker_is_ready_late_and_then_finds_it) {
+Test(selector, without_any_majority_a_broker_is_ready_late_and_then_finds_it) {
   World world = three();
   for (auto& [address, registry] : world.registries)
     registry.is_confirmed = false;
-  world.feed.set_seeds({"b:1"}, start);
+  world.selector.set_seeds({"b:1"}, start);
   world.run(unconfirmed_wait - 50ms);
   cr_expect(!world.is_ready);
   world.run(300ms);
-  cr_expect(world.is_ready && world.how == Feed::Ready::unconfirmed);
+  cr_expect(world.is_ready && world.how == ControlSourceSelector::Ready::unconfirmed);
   world.registries["c:1"].is_confirmed = true;
   cr_expect(world.until_confirmed(5s) <= follow + world.way * 4);
 }
 
 // The only contact answers late: what it tells of is tried before the broker goes by its word, but
 // not for ever.
-Test(feed, what_is_learnt_late_is_waited_for_once) {
+Test(selector, what_is_learnt_late_is_waited_for_once) {
   World world = three();
   world.registries["b:1"].is_confirmed = false;
-  world.registries["b:1"].is_heard = false;
+  world.registries["b:1"].is_reachable = false;
   world.registries["c:1"].is_up = world.registries["a:1"].is_up = false;
-  world.feed.set_seeds({"b:1"}, start);
+  world.selector.set_seeds({"b:1"}, start);
   world.run(unconfirmed_wait - 100ms);
-  world.registries["b:1"].is_heard = true;
+  world.registries["b:1"].is_reachable = true;
   world.run(1s);
   cr_expect(!world.is_ready && world.asked.contains("c:1"));
   world.run(1500ms);
-  cr_expect(world.how == Feed::Ready::unconfirmed);
+  cr_expect(world.how == ControlSourceSelector::Ready::unconfirmed);
 }
 
-Test(feed, long_ways_do_not_make_it_change_to_and_fro) {
+Test(selector, long_ways_do_not_make_it_change_to_and_fro) {
   World world = three();
-  world.way = Span(300);
-  world.feed.set_seeds(all, start);
+  world.way = Duration(300);
+  world.selector.set_seeds(all, start);
   world.run(10s);
-  cr_assert(world.feed.chosen() == "a:1");
+  cr_assert(world.selector.chosen() == "a:1");
   const int before = world.changes;
   world.registries["a:1"].is_confirmed = false;
   world.run(20s);
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-Kind refusal(std::string bytes) {
+ErrorCode refusal(std::string bytes) {
   MessageReader reader(true, 1024, 64);
-  return reader.advance(bytes) == Step::failed ? reader.why() : Kind::none;
+  return reader.advance(bytes) == Step::failed ? reader.why() : ErrorCode::none;
 }
 
 }  // namespace
@@ -18,42 +18,45 @@
 Test(http, requests_with_doubtful_framing_are_refused) {
   const struct {
     const char* bytes;
-    Kind kind;
+    ErrorCode kind;
   } rows[] = {
       {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
-       Kind::length_required_conflict},
+       ErrorCode::length_required_conflict},
       {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
-       Kind::length_required_conflict},
-      {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: +1\r\n\r\n", Kind::length_required_conflict},
-      {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 1, 1\r\n\r\n", Kind::length_required_conflict},
+       ErrorCode::length_required_conflict},
+      {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: +1\r\n\r\n",
+       ErrorCode::length_required_conflict},
+      {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 1, 1\r\n\r\n",
+       ErrorCode::length_required_conflict},
       {"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
-       Kind::unsupported_coding},
+       ErrorCode::unsupported_coding},
       {"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: "
        "chunked\r\n\r\n",
-       Kind::length_required_conflict},
-      {"GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", Kind::length_required_conflict},
-      {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length : 1\r\n\r\n", Kind::malformed},
-      {"GET / HTTP/1.1\r\nHost: a\r\n folded\r\n\r\n", Kind::malformed},
-      {"GET / HTTP/1.1\nHost: a\n\n", Kind::malformed},
-      {"GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n", Kind::malformed},
-      {"GET / HTTP/1.1\r\n\r\n", Kind::malformed},
-      {"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", Kind::malformed},
-      {"GET  / HTTP/1.1\r\nHost: a\r\n\r\n", Kind::malformed},
-      {"GET / HTTP/2.0\r\nHost: a\r\n\r\n", Kind::malformed},
-      {"GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n", Kind::malformed},
-      {"GET /\x01 HTTP/1.1\r\nHost: a\r\n\r\n", Kind::malformed},
-      {"GET / HTTP/1.1\r\nHost: a\r\nExpect: tea\r\n\r\n", Kind::expectation},
-      {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 65\r\n\r\n", Kind::body_too_large},
+       ErrorCode::length_required_conflict},
+      {"GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", ErrorCode::length_required_conflict},
+      {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length : 1\r\n\r\n", ErrorCode::malformed},
+      {"GET / HTTP/1.1\r\nHost: a\r\n folded\r\n\r\n", ErrorCode::malformed},
+      {"GET / HTTP/1.1\nHost: a\n\n", ErrorCode::malformed},
+      {"GET / HTTP/1.1\r\nHost: a\rX: b\r\n\r\n", ErrorCode::malformed},
+      {"GET / HTTP/1.1\r\n\r\n", ErrorCode::malformed},
+      {"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", ErrorCode::malformed},
+      {"GET  / HTTP/1.1\r\nHost: a\r\n\r\n", ErrorCode::malformed},
+      {"GET / HTTP/2.0\r\nHost: a\r\n\r\n", ErrorCode::malformed},
+      {"GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n", ErrorCode::malformed},
+      {"GET /\x01 HTTP/1.1\r\nHost: a\r\n\r\n", ErrorCode::malformed},
+      {"GET / HTTP/1.1\r\nHost: a\r\nExpect: tea\r\n\r\n", ErrorCode::expectation},
+      {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 65\r\n\r\n", ErrorCode::body_too_large},
       {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n41\r\n",
-       Kind::body_too_large},
-      {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1g\r\n", Kind::malformed},
+       ErrorCode::body_too_large},
+      {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1g\r\n",
+       ErrorCode::malformed},
       {"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
-       Kind::malformed},
+       ErrorCode::malformed},
   };
   for (const auto& row : rows)
     cr_expect(refusal(row.bytes) == row.kind, "%s", row.bytes);
   cr_expect(refusal("GET / HTTP/1.1\r\nHost: a\r\nX: " + std::string(1100, 'x') + "\r\n\r\n") ==
-            Kind::head_too_large);
+            ErrorCode::head_too_large);
 }
 
 // However the bytes are cut, the same messages come out, and what follows stays in the buffer.
@@ -82,7 +85,7 @@
   MessageReader reader(false, 1024, 64);
   std::string buffer = "HTTP/1.1 200 OK\r\n\r\nabc";
   cr_expect(reader.advance(buffer) == Step::failed);
-  cr_expect(reader.why() == Kind::garbled);
+  cr_expect(reader.why() == ErrorCode::garbled);
 }
 
 Test(http, an_interim_answer_is_passed_over) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -13,8 +13,8 @@
 bool is_member_address(Cluster& cluster, const std::string& address) {
   if (!cluster.has_leader())
     return false;
-  const auto& committed = cluster.at(cluster.leader()).agreement->committed();
-  return committed && committed->former.empty() &&
+  const auto& committed = cluster.at(cluster.leader()).raft->committed();
+  return committed && committed->outgoing.empty() &&
          std::any_of(committed->members.begin(), committed->members.end(),
                      [&](const Member& member) { return member.address == address; });
 }
@@ -24,7 +24,7 @@
   std::vector<std::string> found;
   const std::string leader = cluster.leader();
   for (const std::string& address : cluster.founders())
-    if (address != but && address != leader && cluster.at(address).agreement)
+    if (address != but && address != leader && cluster.at(address).raft)
       found.push_back(address);
   if (leader != but && leader != spare)
     found.push_back(leader);
@@ -40,10 +40,10 @@
 }
 
 // Once a leader of before that lost its majority has given up.
-bool has_it(Cluster& cluster, const std::string& body, Span most = Span(10000)) {
+bool has_it(Cluster& cluster, const std::string& body, Duration limit = Duration(10000)) {
   cluster.run(1500ms);
   return cluster.run_until(
-      [&] { return cluster.has_leader() && cluster.body_at(cluster.leader()) == body; }, most);
+      [&] { return cluster.has_leader() && cluster.body_at(cluster.leader()) == body; }, limit);
 }
 
 void start_core(Cluster& cluster) {
@@ -58,7 +58,7 @@
 Test(membership, a_silent_member_is_replaced_before_its_loss_may_count_as_made_good) {
   for (const std::size_t count : {std::size_t{3}, std::size_t{5}})
     for (const bool is_leader_lost : {false, true})
-      for (Span between(1500); between <= Span(4000); between += Span(250)) {
+      for (Duration between(1500); between <= Duration(4000); between += Duration(250)) {
         Cluster cluster(count);
         start_core(cluster);
         const std::string lost = is_leader_lost ? cluster.leader() : running(cluster).front();
@@ -82,17 +82,17 @@
       start_core(cluster);
       const std::string lost = is_leader_lost ? cluster.leader() : running(cluster).front();
       cluster.stop(lost);
-      const Moment from = cluster.now();
+      const TimePoint from = cluster.now();
       cr_assert(cluster.run_until(
           [&] { return is_member_address(cluster, spare) && !is_member_address(cluster, lost); }));
-      const Span took = span_between(from, cluster.now());
+      const Duration took = elapsed(from, cluster.now());
       cr_log_info("of %zu, %s: replaced %d ms after its loss", count,
                   is_leader_lost ? "the leader" : "a follower", static_cast<int>(took.count()));
-      cr_expect(took < Span(1500), "%d", static_cast<int>(took.count()));
+      cr_expect(took < Duration(1500), "%d", static_cast<int>(took.count()));
     }
-  cr_expect(silent_span(Span(4000), Span(700)) == Span(1050) &&
-            silent_span(Span(6000), Span(700)) == Span(1500) &&
-            silent_span(Span(60000), Span(700)) == Span(3000));
+  cr_expect(replacement_timeout(Duration(4000), Duration(700)) == Duration(1050) &&
+            replacement_timeout(Duration(6000), Duration(700)) == Duration(1500) &&
+            replacement_timeout(Duration(60000), Duration(700)) == Duration(3000));
 }
 
 // A member that leaves goes only after its place is taken; whoever is lost in that moment costs
@@ -105,13 +105,13 @@
         start_core(cluster);
         cr_assert(acknowledges(cluster, 5, "five"));
         const std::string leaver = is_leader ? cluster.leader() : running(cluster).front();
-        const Moment from = cluster.now();
+        const TimePoint from = cluster.now();
         cluster.leave(leaver);
-        cr_assert(cluster.run_until([&] { return !cluster.at(leaver).agreement; }, 3000ms));
-        const Span took = span_between(from, cluster.now());
+        cr_assert(cluster.run_until([&] { return !cluster.at(leaver).raft; }, 3000ms));
+        const Duration took = elapsed(from, cluster.now());
         cr_log_info("of %zu, %s: left after %d ms", count, is_leader ? "the leader" : "a follower",
                     static_cast<int>(took.count()));
-        cr_expect(took < Span(500));
+        cr_expect(took < Duration(500));
         const std::vector<std::string> next = running(cluster, leaver);
         cluster.wipe(other ? next.back() : next.front());
         if (count == 5)
@@ -127,7 +127,7 @@
   for (const std::string& leaver : {running(cluster).front(), cluster.leader()}) {
     cluster.leave(leaver);
     cluster.run(150ms);
-    cr_expect(!cluster.at(leaver).agreement);
+    cr_expect(!cluster.at(leaver).raft);
     cluster.start(leaver);
     cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
     cluster.run(1000ms);
@@ -148,7 +148,7 @@
   cluster.heal();
   cluster.start(others[1]);
   cluster.leave(leader);
-  cluster.run_until([&] { return !cluster.at(leader).agreement; }, 3000ms);
+  cluster.run_until([&] { return !cluster.at(leader).raft; }, 3000ms);
   cr_expect(has_it(cluster, "seven"));
 }
 
@@ -156,19 +156,19 @@
   Cluster cluster(3);
   cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
   cr_assert(acknowledges(cluster, 3, "three"));
-  int place = 20;
+  int position = 20;
   for (const std::string& founder : cluster.founders()) {
-    cluster.start("10.0.0." + std::to_string(++place) + ":7");
+    cluster.start("10.0.0." + std::to_string(++position) + ":7");
     cluster.run(600ms);
     cluster.leave(founder);
-    cr_assert(cluster.run_until([&] { return !cluster.at(founder).agreement; }, 3000ms));
+    cr_assert(cluster.run_until([&] { return !cluster.at(founder).raft; }, 3000ms));
   }
   cr_expect(has_it(cluster, "three"));
   // All first contacts are dead from here on: whoever comes back knows the members from its own
   // disk.
   std::vector<std::string> all;
-  for (place = 21; place <= 23; ++place)
-    all.push_back("10.0.0." + std::to_string(place) + ":7");
+  for (position = 21; position <= 23; ++position)
+    all.push_back("10.0.0." + std::to_string(position) + ":7");
   for (const std::string& address : all)
     cluster.stop(address);
   cluster.run(3000ms);
@@ -199,8 +199,8 @@
   cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
   const std::string leader = cluster.leader(), lost = running(cluster).front();
   std::int64_t version = 10;
-  const auto storm = [&](Span span) {
-    for (const Moment end = cluster.now() + span; cluster.now() < end; cluster.run(5ms))
+  const auto storm = [&](Duration span) {
+    for (const TimePoint end = cluster.now() + span; cluster.now() < end; cluster.run(5ms))
       for (int order = 0; order < 2; ++order)
         cluster.propose(++version, "body " + std::to_string(version));
   };
@@ -210,7 +210,7 @@
   storm(1500ms);
   cr_expect(cluster.leader() == leader);
   cr_expect(is_member_address(cluster, spare) ||
-            cluster.at(leader).agreement->committed()->former.size() > 0);
+            cluster.at(leader).raft->committed()->outgoing.size() > 0);
   storm(500ms);
   cr_expect(cluster.run_until(
       [&] { return is_member_address(cluster, spare) && !is_member_address(cluster, lost); },
@@ -225,19 +225,19 @@
   const std::string leader = cluster.leader();
   for (const std::string& address : cluster.founders())
     cluster.cut_way(address, leader);
-  const Moment from = cluster.now();
+  const TimePoint from = cluster.now();
   bool is_relied_on = true;
-  while (is_relied_on && cluster.now() - from < Span(4000)) {
+  while (is_relied_on && cluster.now() - from < Duration(4000)) {
     cluster.run(5ms);
     is_relied_on = false;
     for (const std::string& address : cluster.founders()) {
-      const Agreement& agreement = *cluster.at(address).agreement;
-      is_relied_on = is_relied_on || (agreement.leader_address() == leader &&
-                                      agreement.is_confirmed(cluster.now()));
+      const RaftNode& raft = *cluster.at(address).raft;
+      is_relied_on =
+          is_relied_on || (raft.leader_address() == leader && raft.is_confirmed(cluster.now()));
     }
   }
-  cr_expect(cluster.now() - from <= Span(1450), "%d",
-            static_cast<int>(span_between(from, cluster.now()).count()));
+  cr_expect(cluster.now() - from <= Duration(1450), "%d",
+            static_cast<int>(elapsed(from, cluster.now()).count()));
 }
 
 // A wiped member hears the leader, but holds nothing yet: it can't know who is a member, and says
@@ -255,8 +255,8 @@
   cluster.start(others[0]);
   cluster.run(300ms);
   cluster.cut_way(leader, others[1]);
-  for (const Moment end = cluster.now() + 2500ms; cluster.now() < end; cluster.run(5ms))
-    cr_assert(!cluster.at(others[1]).agreement->status(cluster.now()).is_removed);
+  for (const TimePoint end = cluster.now() + 2500ms; cluster.now() < end; cluster.run(5ms))
+    cr_assert(!cluster.at(others[1]).raft->status(cluster.now()).is_removed);
 }
 
 // Told that it was removed, and then nobody leads: it does not wait for ever.
@@ -272,10 +272,10 @@
   message.type = RaftMessage::Type::pre_voted;
   message.from = cluster.at(other).disk.self;
   message.address = other;
-  message.term = cluster.at(told).agreement->term();
+  message.term = cluster.at(told).raft->term();
   message.is_removed = true;
-  cluster.at(told).agreement->receive(message, cluster.now());
-  cr_assert(cluster.at(told).agreement->status(cluster.now()).is_removed);
+  cluster.at(told).raft->receive(message, cluster.now());
+  cr_assert(cluster.at(told).raft->status(cluster.now()).is_removed);
   cluster.run(4000ms);
-  cr_expect(!cluster.at(told).agreement->status(cluster.now()).is_removed);
+  cr_expect(!cluster.at(told).raft->status(cluster.now()).is_removed);
 }
--- a/tests/pick_test.cpp
+++ b/tests/pick_test.cpp
@@ -9,20 +9,20 @@
 
 namespace {
 
-constexpr Moment start = Moment{} + 1000s;
+constexpr TimePoint start = TimePoint{} + 1000s;
 
 }  // namespace
 
 // Whatever the load and however the moments fall, extras of any span stay within the share of its
 // requests.
 Test(budget, extras_never_exceed_the_share_in_any_span) {
-  Budget budget(Span(10000), 0.2);
-  std::vector<Moment> requests, extras;
+  RetryBudget budget(Duration(10000), 0.2);
+  std::vector<TimePoint> requests, extras;
   std::uint64_t noise = 88172645463325252ull;
   const auto draw = [&] {
     return noise ^= noise << 13, noise ^= noise >> 7, noise ^= noise << 17;
   };
-  for (Moment now = start; now < start + 60s; now += 10ms) {
+  for (TimePoint now = start; now < start + 60s; now += 10ms) {
     const bool is_busy = (now - start) % 20s < 8s;
     for (std::uint64_t count = draw() % (is_busy ? 5 : 2); count; --count) {
       budget.count_request(now);
@@ -34,16 +34,16 @@
     }
   }
   cr_assert(!extras.empty());
-  const auto within = [](const std::vector<Moment>& events, Moment from, Moment to) {
+  const auto within = [](const std::vector<TimePoint>& events, TimePoint from, TimePoint to) {
     return std::count_if(events.begin(), events.end(),
-                         [&](Moment event) { return event >= from && event < to; });
+                         [&](TimePoint event) { return event >= from && event < to; });
   };
-  for (Moment from = start; from < start + 50s; from += 250ms) {
-    const auto most =
+  for (TimePoint from = start; from < start + 50s; from += 250ms) {
+    const auto limit =
         std::max({within(requests, from, from + 10s), within(requests, from - 5s, from + 5s),
                   within(requests, from - 10s, from)});
     cr_expect(static_cast<double>(within(extras, from, from + 10s)) <=
-              0.2 * static_cast<double>(most) + 1);
+              0.2 * static_cast<double>(limit) + 1);
   }
 }
 
@@ -61,7 +61,7 @@
 }
 
 Test(picker, breakers_alone_never_empty_a_shard) {
-  Picker picker({"", ""}, 1);
+  LoadBalancer picker({"", ""}, 1);
   std::vector<BackendPointer> backends;
   for (int at = 0; at < 2; ++at) {
     backends.push_back(std::make_shared<Backend>());
@@ -74,14 +74,14 @@
 }
 
 Test(picker, where_connections_are_scarce_each_broker_keeps_to_its_own) {
-  const Moment now = Moment{} + 1000s;
+  const TimePoint now = TimePoint{} + 1000s;
   std::vector<BackendPointer> backends;
   for (int index = 0; index < 4; ++index) {
     auto backend = std::make_shared<Backend>();
     backend->id = "b" + std::to_string(index);
     backend->status = Status::up;
     backend->region = "r";
-    backend->locality = "l";
+    backend->zone = "l";
     backends.push_back(backend);
   }
   // 58 brokers, 20 connections to each of four: one own each, and no backend is the own of more
@@ -100,7 +100,7 @@
   for (const auto& backend : backends)
     if (backend->is_own)
       own = backend.get();
-  Picker picker({"l", "r"}, 1);
+  LoadBalancer picker({"l", "r"}, 1);
   cr_expect(picker.pick(backends, {}, 1, now).backend == own);
   cr_expect(picker.pick(backends, {own}, 1, now + 20ms).backend != nullptr,
             "a second asking goes elsewhere");
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr Moment start = Moment{} + 1000s;
+constexpr TimePoint start = TimePoint{} + 1000s;
 
-RosterEntry listed(const std::string& id, Phase phase = Phase::ready) {
-  RosterEntry entry;
+Endpoint listed(const std::string& id, Phase phase = Phase::ready) {
+  Endpoint entry;
   entry.id = id;
   entry.service = "s";
   entry.address = "10.0.0.1:80";
@@ -18,22 +18,22 @@
   return entry;
 }
 
-std::vector<RosterEntry> many(int count) {
-  std::vector<RosterEntry> entries;
+std::vector<Endpoint> many(int count) {
+  std::vector<Endpoint> entries;
   for (int at = 0; at < count; ++at)
     entries.push_back(listed("b" + std::to_string(at)));
   return entries;
 }
 
-Status status(const RosterBook& book, const std::string& id) {
+Status status(const EndpointTable& book, const std::string& id) {
   return book.lines().at(id).entry.status;
 }
-Phase phase(const RosterBook& book, const std::string& id) {
+Phase phase(const EndpointTable& book, const std::string& id) {
   return book.lines().at(id).entry.phase;
 }
 
-Registry watching(int count, RegistryOptions options = {}) {
-  Registry registry(options);
+ServiceRegistry watching(int count, ServiceRegistryOptions options = {}) {
+  ServiceRegistry registry(options);
   registry.name_services({"s"});
   registry.observe(many(count), start);
   for (int at = 0; at < count; ++at)
@@ -43,8 +43,8 @@
 }
 
 // Renews all but the first `silent` every second, and sweeps.
-void live(Registry& registry, int count, int silent, Moment from, Span span) {
-  for (Moment now = from; now <= from + span; now += 1s) {
+void live(ServiceRegistry& registry, int count, int silent, TimePoint from, Duration span) {
+  for (TimePoint now = from; now <= from + span; now += 1s) {
     for (int at = silent; at < count; ++at)
       registry.renew("b" + std::to_string(at), now);
     registry.sweep(now);
@@ -54,7 +54,7 @@
 }  // namespace
 
 Test(registry, a_backend_is_starting_until_its_first_renewal) {
-  Registry registry({});
+  ServiceRegistry registry({});
   registry.name_services({"s"});
   registry.observe(many(1), start);
   cr_expect(status(registry, "b0") == Status::starting);
@@ -64,7 +64,7 @@
 }
 
 Test(registry, an_expired_hold_is_evicted_by_the_sweep_and_a_renewal_brings_it_back) {
-  Registry registry = watching(10);
+  ServiceRegistry registry = watching(10);
   live(registry, 10, 1, start + 1s, 4s);
   cr_expect(status(registry, "b0") == Status::up, "its hold has not run out");
   live(registry, 10, 1, start + 6s, 3s);
@@ -75,7 +75,7 @@
 }
 
 Test(registry, eviction_pauses_under_the_threshold_and_goes_on_above_it) {
-  Registry registry = watching(10);
+  ServiceRegistry registry = watching(10);
   live(registry, 10, 4, start + 1s, 20s);
   cr_expect(!registry.is_evicting());
   for (int at = 0; at < 10; ++at)
@@ -86,15 +86,15 @@
 }
 
 Test(registry, without_self_preservation_all_expired_holds_go) {
-  RegistryOptions options;
+  ServiceRegistryOptions options;
   options.is_preserving = false;
-  Registry registry = watching(10, options);
+  ServiceRegistry registry = watching(10, options);
   live(registry, 10, 4, start + 1s, 10s);
   cr_expect(registry.evicted() == 4);
 }
 
 Test(registry, emptying_cancels_at_once_and_nothing_late_revives_it) {
-  Registry registry = watching(2), peer = watching(2);
+  ServiceRegistry registry = watching(2), peer = watching(2);
   registry.observe({listed("b0", Phase::emptying), listed("b1")}, start + 1s);
   cr_expect(status(registry, "b0") == Status::out_of_service);
   registry.renew("b0", start + 2s);
@@ -108,7 +108,7 @@
 }
 
 Test(registry, a_backend_is_gone_when_two_listings_lack_it) {
-  Registry registry = watching(2);
+  ServiceRegistry registry = watching(2);
   registry.observe({listed("b1")}, start + 1s);
   cr_expect(phase(registry, "b0") == Phase::ready, "pages may shift between two calls");
   registry.observe({listed("b1")}, start + 2s);
@@ -120,14 +120,14 @@
 }
 
 Test(registry, deltas_bring_a_copy_to_the_same_as_the_whole) {
-  Registry registry = watching(5);
-  RosterBook copy, fresh;
-  std::uint64_t mark = 0;
-  const auto follow = [&](Moment now) {
-    const Roster delta = registry.since(mark, now);
-    for (const RosterEntry& entry : delta.entries)
+  ServiceRegistry registry = watching(5);
+  EndpointTable copy, fresh;
+  std::uint64_t revision = 0;
+  const auto follow = [&](TimePoint now) {
+    const EndpointList delta = registry.since(revision, now);
+    for (const Endpoint& entry : delta.entries)
       copy.merge(entry, now);
-    mark = delta.mark;
+    revision = delta.revision;
     return delta.entries.size();
   };
   cr_expect(follow(start) == 5);
@@ -136,7 +136,7 @@
                     listed("b4"), listed("b5")},
                    start + 1s);
   cr_expect(follow(start + 1s) == 2);
-  for (const RosterEntry& entry : registry.since(0, start + 1s).entries)
+  for (const Endpoint& entry : registry.since(0, start + 1s).entries)
     fresh.merge(entry, start + 1s);
   for (const auto& [id, line] : fresh.lines()) {
     cr_expect(copy.lines().at(id).entry.status == line.entry.status);
@@ -145,7 +145,7 @@
 }
 
 Test(registry, a_restarted_one_is_filled_only_by_a_whole_capture_or_a_listing) {
-  Registry registry = watching(3), restarted({});
+  ServiceRegistry registry = watching(3), restarted({});
   cr_expect(!restarted.is_filled());
   restarted.take(registry.since(1, start), start);
   cr_expect(!restarted.is_filled());
@@ -155,14 +155,14 @@
 }
 
 Test(registry, a_backend_that_tells_of_itself_is_registered_renewed_and_cancelled) {
-  RegistryOptions options;
+  ServiceRegistryOptions options;
   options.is_signing_up = true;
-  Registry here(options), there(options);
-  const Moment start = Moment{} + 1000s;
-  RosterEntry entry;
-  const std::string beat =
+  ServiceRegistry here(options), there(options);
+  const TimePoint start = TimePoint{} + 1000s;
+  Endpoint entry;
+  const std::string heartbeat =
       R"({"service":"db","address":"10.0.0.1:80","zone":"z","state":"ready","store_role":"copy","call_count":4})";
-  cr_assert(!read_beat("i-1", beat, false, entry));
+  cr_assert(!read_backend_heartbeat("i-1", heartbeat, false, entry));
   here.sign(entry, start);
   there.take(here.since(0, start), start);
   cr_expect(there.lines().at("i-1").entry.status == Status::up);
@@ -208,11 +208,12 @@
        "capacity is missing or out of range"},
   };
   for (const auto& row : rows) {
-    RosterEntry entry;
-    const Fault found = read_beat("i-1", row.body, false, entry);
+    Endpoint entry;
+    const Error found = read_backend_heartbeat("i-1", row.body, false, entry);
     cr_expect(found.step == row.complaint, "%s", found.step.c_str());
     cr_expect(entry.id.empty());
   }
-  RosterEntry entry;
-  cr_expect(read_beat("a/b", "", true, entry) && read_beat("", "", true, entry));
+  Endpoint entry;
+  cr_expect(read_backend_heartbeat("a/b", "", true, entry) &&
+            read_backend_heartbeat("", "", true, entry));
 }
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -40,7 +40,7 @@
 // Turns until it is so, or five seconds are over.
 template <class Condition>
 bool await(const Condition& is_so) {
-  for (const Moment until = Clock::now() + 5s; Clock::now() < until; std::this_thread::yield())
+  for (const TimePoint until = Clock::now() + 5s; Clock::now() < until; std::this_thread::yield())
     if (is_so())
       return true;
   return false;
@@ -60,7 +60,7 @@
     await([&] { return taken > 0; });
     std::raise(SIGTERM);
   });
-  signals.serve(path, false, [&](const Startup& changed) { taken += changed.grace == 9s; });
+  signals.serve(path, false, [&](const NodeSettings& changed) { taken += changed.grace == 9s; });
   driver.join();
   std::remove(path.c_str());
   return taken == 1;
@@ -91,8 +91,8 @@
   const std::string path = own_path();
   Signals signals(path);
   std::ofstream(path) << good + "}";
-  const std::optional<Startup> startup = signals.await_startup(path, false);
-  cr_assert(startup && startup->grace != 9s);
+  const std::optional<NodeSettings> settings = signals.await_node_settings(path, false);
+  cr_assert(settings && settings->grace != 9s);
   std::ofstream(path) << good + R"(,"time_bounds":{"grace_s":9}})";
   cr_expect(is_change_taken(signals, path));
 }
@@ -127,7 +127,7 @@
     cr_expect(await([&] { return taken > 0; }));
     std::raise(SIGTERM);
   });
-  signals.serve(path, false, [&](const Startup& changed) {
+  signals.serve(path, false, [&](const NodeSettings& changed) {
     cr_expect(changed.grace == 9s);
     ++taken;
   });
@@ -153,9 +153,9 @@
       std::ofstream(path) << registry + R"({"catch_up_s":5}})";
       std::raise(SIGHUP);
     });
-    const std::optional<Startup> startup = signals.await_startup(path, true);
+    const std::optional<NodeSettings> settings = signals.await_node_settings(path, true);
     driver.join();
-    cr_expect(startup && startup->catch_up == 5s);
+    cr_expect(settings && settings->catch_up == 5s);
     cr_expect(kept.refused == 1, "%d lines for %s", kept.refused.load(), bounds.c_str());
     std::remove(path.c_str());
   }
--- a/tests/ring_test.cpp
+++ b/tests/ring_test.cpp
@@ -23,7 +23,7 @@
 
 RingMap ring_for(const std::string& text) {
   RingMap ring;
-  const Fault found = read_ring(text, ring);
+  const Error found = read_ring(text, ring);
   cr_assert(!found, "%s", found.text().c_str());
   return ring;
 }
@@ -64,7 +64,7 @@
   };
   for (const auto& row : rows) {
     RingMap ring;
-    const Fault found = read_ring(row.text, ring);
+    const Error found = read_ring(row.text, ring);
     cr_expect(found.step == row.complaint, "%s, wanted %s", found.step.c_str(),
               row.complaint.c_str());
     cr_expect(ring.nodes.empty());
@@ -81,18 +81,18 @@
     cr_expect(before.owner(one).name == after.owner(one).name || after.owner(one).name == "e");
   }
   cr_expect(moved > 0 && moved < 28, "%zu of 64", moved);
-  RingSheet sheet{
+  RingDocument document{
       4, ring_file(four), {{7, "d"}, {8, "gone"}}, {}, {{"camper-7", "c"}, {"camper-8", "gone"}}},
       read;
   RingMap ring;
-  cr_assert(decode_ring(encode_ring(sheet), read) && !ring_of(read, ring));
+  cr_assert(decode_ring(encode_ring(document), read) && !ring_of(read, ring));
   cr_expect(ring.owner(7).name == "d" && ring.owner(8).name == before.owner(8).name);
   cr_expect(ring.nodes[ring.owner_of("camper-7")].name == "c" &&
             ring.owner_of("camper-8") == ring.owners[ring.find("camper-8")]);
   std::string_view key;
   cr_expect(ring.key_of("/l/park-9/2f?x=1", "/l/", key) && key == "park-9");
   cr_expect(!ring.key_of("/l/", "/l/", key));
-  cr_expect(!decode_ring(encode_ring(sheet).substr(0, 30), read));
+  cr_expect(!decode_ring(encode_ring(document).substr(0, 30), read));
 }
 
 Test(ring, a_proposal_that_is_followed_makes_none_in_return) {
@@ -100,7 +100,7 @@
   roomy.replace(roomy.find("memory_mb: 30"), 13, "memory_mb: 900");
   RingMap ring = ring_for(ring_file(roomy));
   const std::vector<RingLoad> loads = hot_loads(ring, "a");
-  RingWatch watch{WatchOptions{}};
+  RingLoadMonitor watch{WatchOptions{}};
   RingReport report = watch.report(ring, loads);
   cr_assert(!report.is_balanced() && !report.proposals.empty());
   for (int round = 0; round < 40 && !report.proposals.empty(); ++round) {
@@ -123,7 +123,7 @@
 
 Test(ring, noise_and_few_askings_propose_nothing) {
   const RingMap ring = ring_for(ring_file(four));
-  RingWatch watch{WatchOptions{}};
+  RingLoadMonitor watch{WatchOptions{}};
   std::vector<RingLoad> loads(64);
   for (RingLoad& load : loads)
     load = {1, 10, 50};
@@ -145,7 +145,7 @@
 Test(ring, far_and_slow_nodes_get_what_is_left) {
   const RingMap ring = ring_for(ring_file(four));
   cr_expect(move_cost(ring, RingUnit{}, 0, 2, {}) > 20 * move_cost(ring, RingUnit{}, 0, 1, {}));
-  RingWatch watch{WatchOptions{}};
+  RingLoadMonitor watch{WatchOptions{}};
   const RingReport report = watch.report(ring, hot_loads(ring, "a"));
   cr_assert(!report.proposals.empty());
   cr_expect(report.proposals[0].to == "b");
@@ -162,7 +162,7 @@
 Test(ring, a_move_that_cannot_be_is_refused_with_the_reason) {
   const RingMap ring = ring_for(ring_file(four));
   const std::set<std::string> serving = {"a", "b", "d"};
-  RingMoves moves{MoveOptions{}};
+  ShardMigration moves{MoveOptions{}};
   VirtualNode of_a = 0;
   while (ring.owner(of_a).name != "a")
     ++of_a;
@@ -185,10 +185,10 @@
 }
 
 Test(ring, counts_fade_and_travel_whole_or_not_at_all) {
-  const Moment start = Moment{} + 1000s;
-  RingLoads loads(Span(30000));
+  const TimePoint start = TimePoint{} + 1000s;
+  RingLoads loads(Duration(30000));
   loads.add(3, {100, 1000, 10}, start);
-  cr_expect(std::abs(loads.sums(64, start + 30s)[3].askings - 50) < 0.01);
+  cr_expect(std::abs(loads.sums(64, start + 30s)[3].attempts - 50) < 0.01);
   std::vector<std::pair<VirtualNode, RingLoad>> read;
   const std::string bytes = encode_loads({{3, {5, 1.5, 70}}});
   cr_expect(decode_loads(bytes, read) && read[0].second.busy_ms == 1.5);
@@ -201,13 +201,14 @@
       R"({"version":1,"services":[{"name":"a"},{"name":"b"},{"name":"c"}],"routes":[)"
       R"({"name":"lookups","host":"h","path_start":"/l/","sort":"harmless","give_up_ms":1000,"target_ms":200,"shares":[{"service":"a","weight":1},{"service":"b","weight":0}]},)"
       R"({"name":"all","host":"h","path_start":"/g/","sort":"harmless","give_up_ms":1000,"target_ms":200,"ask_all":["a","b"],"best_count":1,"fewest_parts":1}]})";
-  const Fault read = read_configuration(body, configuration);
+  const Error read = read_configuration(body, configuration);
   cr_assert(!read, "%s", read.text().c_str());
-  const auto check = [&](const std::string& rule, const std::string& node) {
+  const auto check = [&](const std::string& route, const std::string& node) {
     RingMap ring;
-    const Fault found = check_ring_file("edition: 1\nrule: " + rule + "\nnodes:\n- {name: " + node +
-                                            ", zone: x, memory_mb: 9, disk_mb: 9}\n",
-                                        *configuration, ring);
+    const Error found =
+        check_ring_file("edition: 1\nrule: " + route + "\nnodes:\n- {name: " + node +
+                            ", zone: x, memory_mb: 9, disk_mb: 9}\n",
+                        *configuration, ring);
     cr_expect(ring.nodes.empty() == static_cast<bool>(found));
     return found.step;
   };
--- a/tests/rings_test.cpp
+++ b/tests/rings_test.cpp
@@ -5,14 +5,14 @@
 using namespace saddlewing;
 
 Test(rings, a_full_one_refuses) {
-  Ring<int> ring(2, {});
+  BoundedQueue<int> ring(2, {});
   cr_expect(ring.push(1) && ring.push(2) && !ring.push(3));
   cr_expect(ring.take() == std::vector<int>({1, 2}));
 }
 
 Test(rings, of_the_newest_alone_a_late_reader_finds_the_newest) {
   int woken = 0;
-  Ring<int> ring(2, [&] { ++woken; });
+  BoundedQueue<int> ring(2, [&] { ++woken; });
   for (int item = 1; item <= 5; ++item)
     ring.replace(item);
   cr_expect(ring.take() == std::vector<int>({5}));
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -3,11 +3,11 @@
 #include "coordination/rollout.h"
 
 using namespace saddlewing;
-using Turn = Rollout::Turn;
+using Turn = VersionRollout::Turn;
 
 namespace {
 
-constexpr Moment start = Moment{} + 1000s;
+constexpr TimePoint start = TimePoint{} + 1000s;
 
 ConfigurationSnapshot version(std::int64_t number) {
   auto configuration = std::make_shared<Configuration>();
@@ -18,7 +18,7 @@
 }  // namespace
 
 Test(rollout, an_version_waits_until_every_broker_holds_it) {
-  Rollout rollout(Span(400));
+  VersionRollout rollout(Duration(400));
   rollout.commit(Version{5}, start);
   cr_expect(rollout.advance({Version{5}, Version{4}}, start + 50ms) == Turn::none);
   cr_expect(rollout.in_force() == Version{0});
@@ -27,14 +27,14 @@
 }
 
 Test(rollout, a_broker_that_lags_is_not_waited_for_without_end) {
-  Rollout rollout(Span(400));
+  VersionRollout rollout(Duration(400));
   rollout.commit(Version{5}, start);
   cr_expect(rollout.advance({Version{4}}, start + 399ms) == Turn::none);
   cr_expect(rollout.advance({Version{4}}, start + 400ms) == Turn::waited_enough);
 }
 
 Test(rollout, an_older_commit_changes_nothing) {
-  Rollout rollout(Span(400));
+  VersionRollout rollout(Duration(400));
   rollout.commit(Version{5}, start);
   rollout.advance({}, start);
   rollout.commit(Version{4}, start + 1s);
@@ -42,26 +42,28 @@
 }
 
 Test(rollout, a_serving_broker_turns_when_it_is_told_and_never_back) {
-  Turnover turnover(Span(800));
-  cr_expect(turnover.take(version(3), start) && turnover.turn(false, start),
+  VersionSwitch version_switch(Duration(800));
+  cr_expect(version_switch.take(version(3), start) && version_switch.turn(false, start),
             "the first has nothing to wait for");
-  cr_expect(turnover.take(version(5), start + 1s));
-  cr_expect(!turnover.turn(true, start + 1100ms) && turnover.serving()->version == Version{3} &&
-            turnover.held() == Version{5});
-  turnover.see_in_force(Version{4});
-  cr_expect(!turnover.turn(true, start + 1200ms));
-  turnover.see_in_force(Version{5});
-  cr_expect(turnover.turn(true, start + 1300ms) && turnover.serving()->version == Version{5});
-  cr_expect(!turnover.take(version(4), start + 1400ms));
+  cr_expect(version_switch.take(version(5), start + 1s));
+  cr_expect(!version_switch.turn(true, start + 1100ms) &&
+            version_switch.serving()->version == Version{3} && version_switch.held() == Version{5});
+  version_switch.see_in_force(Version{4});
+  cr_expect(!version_switch.turn(true, start + 1200ms));
+  version_switch.see_in_force(Version{5});
+  cr_expect(version_switch.turn(true, start + 1300ms) &&
+            version_switch.serving()->version == Version{5});
+  cr_expect(!version_switch.take(version(4), start + 1400ms));
 }
 
 Test(rollout, a_broker_without_registries_turns_after_a_while) {
-  Turnover turnover(Span(800));
-  turnover.take(version(3), start);
-  turnover.turn(false, start);
-  turnover.take(version(5), start + 1s);
-  turnover.take(version(6), start + 1700ms);
-  cr_expect(!turnover.turn(true, start + 1799ms));
-  cr_expect(turnover.turn(true, start + 1800ms) && turnover.serving()->version == Version{6},
-            "newer ones do not renew the wait");
+  VersionSwitch version_switch(Duration(800));
+  version_switch.take(version(3), start);
+  version_switch.turn(false, start);
+  version_switch.take(version(5), start + 1s);
+  version_switch.take(version(6), start + 1700ms);
+  cr_expect(!version_switch.turn(true, start + 1799ms));
+  cr_expect(
+      version_switch.turn(true, start + 1800ms) && version_switch.serving()->version == Version{6},
+      "newer ones do not renew the wait");
 }
--- a/tests/sanitize/direct_runner.cpp
+++ b/tests/sanitize/direct_runner.cpp
@@ -25,7 +25,7 @@
 
 namespace {
 
-constexpr std::size_t most_at_once = 4;
+constexpr std::size_t max_at_once = 4;
 int failed_assertions = 0;
 
 bool is_plain(const criterion_test& test) {
@@ -100,15 +100,15 @@
     std::fprintf(stderr, "options of a suite are not known here\n");
     return 1;
   }
-  for (criterion_test** place = __start_cr_tst; place != __stop_cr_tst; ++place) {
-    const criterion_test* test = *place;
+  for (criterion_test** position = __start_cr_tst; position != __stop_cr_tst; ++position) {
+    const criterion_test* test = *position;
     if (!test)
       continue;
     const std::string name = std::string(test->category) + "/" + test->name;
     if (::fnmatch(filter.c_str(), name.c_str(), 0) != 0)
       continue;
     ++tested;
-    if (running.size() >= most_at_once)
+    if (running.size() >= max_at_once)
       failed += !finish(running);
     const pid_t child = is_plain(*test) ? start(*test) : -1;
     if (child > 0)
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -10,47 +10,48 @@
 namespace {
 
 // A server and a caller on one poller, over loopback, on a port found free.
-class Pair : public Server::Handler, public CallOwner {
+class Pair : public HttpServer::Handler, public HttpCallObserver {
  public:
-  Pair() : server_(poller, schedule, *this, 16, 1 << 20) {
+  Pair() : server_(poller, timers, *this, 16, 1 << 20) {
     for (int port = 20000; port < 60000 && !address.port; ++port)
       if (!server_.open({"127.0.0.1", port}))
         address = {"127.0.0.1", port};
-    server_.set_limits({16384, 4 << 20, Span(3000), Span(15000)});
-    caller = std::make_unique<Caller>(poller, *this, address, 65536, 64u << 20);
+    server_.set_limits({16384, 4 << 20, Duration(3000), Duration(15000)});
+    caller = std::make_unique<HttpClientConnection>(poller, *this, address, 65536, 64u << 20);
   }
-  void on_request(Visit& visit, Moment now) override {
-    paths.push_back(visit.request().getURI());
-    visit.answer({200, "OK", "Try-Id: " + visit.request().get("Try-Id", "") + "\r\n", body}, now);
+  void on_request(ServerExchange& exchange, TimePoint now) override {
+    paths.push_back(exchange.request().getURI());
+    exchange.answer({200, "OK", "Try-Id: " + exchange.request().get("Try-Id", "") + "\r\n", body},
+                    now);
   }
-  void on_gone(Visit&) override {
+  void on_gone(ServerExchange&) override {
   }
-  void on_outcome(Caller&, Moment) override {
+  void on_response(HttpClientConnection&, TimePoint) override {
     is_over = true;
   }
-  void on_breakdown(Caller&, Kind kind, Moment) override {
-    is_over = true, breakdown = kind;
+  void on_failure(HttpClientConnection&, ErrorCode kind, TimePoint) override {
+    is_over = true, failure = kind;
   }
-  void on_idle_end(Caller&) override {
+  void on_idle_end(HttpClientConnection&) override {
   }
   void run() {
     for (int round = 0; round < 20000 && !is_over; ++round) {
-      poller.poll(Span(50));
+      poller.poll(Duration(50));
       server_.reap();
     }
   }
 
   Poller poller;
-  Schedule schedule;
+  TimerQueue timers;
   Address address;
-  std::unique_ptr<Caller> caller;
+  std::unique_ptr<HttpClientConnection> caller;
   std::string body;
   std::vector<std::string> paths;
   bool is_over = false;
-  Kind breakdown = Kind::none;
+  ErrorCode failure = ErrorCode::none;
 
  private:
-  Server server_;
+  HttpServer server_;
 };
 
 }  // namespace
@@ -62,7 +63,7 @@
   pair.body.assign(32u << 20, 'x');
   cr_assert(pair.caller->ask("GET /big HTTP/1.1\r\nHost: a\r\n\r\n", false));
   pair.run();
-  cr_expect(pair.breakdown == Kind::none);
+  cr_expect(pair.failure == ErrorCode::none);
   cr_expect(pair.caller->reader().body().size() == pair.body.size());
 }
 
@@ -82,7 +83,7 @@
 Test(server, a_port_in_use_is_refused) {
   Pair pair;
   Listener second;
-  cr_expect(second.open(pair.address).code == Kind::link);
+  cr_expect(second.open(pair.address).code == ErrorCode::link);
 }
 
 // Bodies that together pass the bound are refused before they are read.
@@ -94,7 +95,7 @@
   pair.run();
   cr_expect(pair.paths.empty());
   cr_expect(pair.caller->reader().response().getStatus() == 503 ||
-            pair.breakdown == Kind::broke_off);
+            pair.failure == ErrorCode::broke_off);
 }
 
 // A surplus answer in the place of the next one is told by its id, and the connection is not used
@@ -106,7 +107,7 @@
                        "a\r\nTry-Id: 2\r\n\r\n",
                        false, "2"));
   pair.run();
-  cr_expect(pair.breakdown == Kind::none);
+  cr_expect(pair.failure == ErrorCode::none);
   cr_expect(pair.caller->reader().response().get("Try-Id") == "2");
-  cr_expect(pair.caller->state() == Caller::State::ended);
+  cr_expect(pair.caller->state() == HttpClientConnection::State::ended);
 }
--- a/tests/session_test.cpp
+++ b/tests/session_test.cpp
@@ -4,9 +4,9 @@
 using namespace saddlewing;
 using namespace saddlewing::tests;
 
-Test(wire, a_message_cut_anywhere_reads_the_same) {
-  const std::string whole =
-      wire(WireKind::ask, {"id", "READ a"}) + wire(WireKind::ready, {"I", "3.12"});
+Test(encode_message, a_message_cut_anywhere_reads_the_same) {
+  const std::string whole = encode_message(WireKind::ask, {"id", "READ a"}) +
+                            encode_message(WireKind::ready, {"I", "3.12"});
   for (std::size_t cut = 0; cut <= whole.size(); ++cut) {
     std::string bytes = whole.substr(0, cut);
     std::vector<WireMessage> read;
@@ -20,7 +20,7 @@
   }
 }
 
-Test(wire, what_is_no_message_is_told_apart) {
+Test(encode_message, what_is_no_message_is_told_apart) {
   WireMessage message;
   std::string unknown = "Jabcdef", torn("Q\0\0\0\3abc", 8), large("Q\0\x10\0\1", 5);
   cr_expect(read_wire(unknown, message) == WireStep::garbled);
@@ -32,8 +32,8 @@
 }
 
 Test(session, unknown_databases_and_wrong_order_end_it_by_name) {
-  SessionStage stage;
-  SessionStage::Client stranger(stage), hasty(stage), proper(stage);
+  DatabaseSessionFixture stage;
+  DatabaseSessionFixture::Client stranger(stage), hasty(stage), proper(stage);
   stage.start(stranger, "nobody");
   cr_expect(stranger.verdict() == "NODB" && stranger.is_closed);
   stage.give(hasty, wire_ask("a", "READ x"));
@@ -47,8 +47,8 @@
 }
 
 Test(session, values_and_names_are_those_of_its_client) {
-  SessionStage stage;
-  SessionStage::Client first(stage), second(stage);
+  DatabaseSessionFixture stage;
+  DatabaseSessionFixture::Client first(stage), second(stage);
   stage.start(first);
   stage.start(second);
   stage.say(first, "SET colour red");
@@ -69,8 +69,8 @@
 }
 
 Test(session, a_transaction_keeps_its_connection_and_others_wait) {
-  SessionStage stage;
-  SessionStage::Client first(stage), second(stage);
+  DatabaseSessionFixture stage;
+  DatabaseSessionFixture::Client first(stage), second(stage);
   stage.start(first);
   stage.start(second);
   stage.say(first, "BEGIN");
@@ -78,7 +78,7 @@
   stage.say(first, "WRITE a 1");
   cr_expect(first.last().field(0) == "T");
   stage.say(second, "WRITE b 1");
-  cr_expect(second.heard.empty() && second.session->state() == Session::State::seeking);
+  cr_expect(second.last_contact.empty() && second.session->state() == Session::State::seeking);
   stage.say(first, "SAVE");
   cr_expect(first.verdict().empty() && first.last().field(0) == "I");
   cr_expect(second.verdict().empty(), "it came next");
@@ -86,13 +86,13 @@
 }
 
 Test(session, a_client_that_leaves_or_rests_too_long_is_rolled_back) {
-  SessionStage stage;
-  SessionStage::Client resting(stage), leaving(stage), next(stage);
+  DatabaseSessionFixture stage;
+  DatabaseSessionFixture::Client resting(stage), leaving(stage), next(stage);
   for (auto* client : {&resting, &leaving, &next})
     stage.start(*client);
   stage.say(resting, "BEGIN");
   stage.say(resting, "WRITE a 1");
-  cr_assert(resting.due != Moment::max());
+  cr_assert(resting.due != TimePoint::max());
   resting.session->on_due(resting.due);
   stage.pump();
   stage.say(leaving, "BEGIN");
@@ -114,14 +114,15 @@
   const std::vector<std::string> script = {"SET colour red", "NAME w WRITE q", "RUN w a 1",
                                            "BEGIN",          "RUN w b 1",      "READ b",
                                            "SAVE",           "READ c",         "WRITE d 1"};
-  for (const auto fault :
-       {StandIn::Fault::cut_before, StandIn::Fault::cut_after, StandIn::Fault::lose_answer,
-        StandIn::Fault::surplus_ready, StandIn::Fault::no_end})
+  for (const auto injected_fault :
+       {StandIn::InjectedFault::cut_before, StandIn::InjectedFault::cut_after,
+        StandIn::InjectedFault::lose_answer, StandIn::InjectedFault::surplus_ready,
+        StandIn::InjectedFault::no_end})
     for (int strike = 1; strike < 24; ++strike) {
-      SessionStage stage;
-      SessionStage::Client client(stage);
+      DatabaseSessionFixture stage;
+      DatabaseSessionFixture::Client client(stage);
       stage.databases["leader"].strike_at = strike;
-      stage.databases["leader"].fault = fault;
+      stage.databases["leader"].injected_fault = injected_fault;
       stage.start(client);
       std::map<std::string, std::string> told;  // by thing: what the client was told of its commit
       for (const std::string& text : script) {
@@ -132,10 +133,11 @@
                           stamp = "stamp try" + std::to_string(stage.last_try);
         const bool is_asked = text.starts_with("R") || text.starts_with("W") || text == "SAVE";
         if (verdict.empty())
-          cr_expect(client.heard[client.heard.size() - 2].field(0) == (is_asked ? stamp : "-"),
+          cr_expect(client.last_contact[client.last_contact.size() - 2].field(0) ==
+                        (is_asked ? stamp : "-"),
                     "%s without its stamp, strike %d", text.c_str(), strike);
         if (verdict.empty() && text == "READ c")
-          cr_expect(client.heard[0].field(0) == "row of READ c", "strike %d", strike);
+          cr_expect(client.last_contact[0].field(0) == "row of READ c", "strike %d", strike);
         if (text == "RUN w a 1")
           told["a 1"] = verdict;
         if (text == "SAVE")
@@ -162,36 +164,36 @@
 }
 
 Test(session, without_a_hold_nothing_is_sent_and_no_outcome_is_told) {
-  SessionStage stage;
-  SessionStage::Client client(stage);
+  DatabaseSessionFixture stage;
+  DatabaseSessionFixture::Client client(stage);
   stage.start(client);
-  stage.has_hold = false;
+  stage.has_lease = false;
   stage.say(client, "WRITE a 1");
-  cr_expect(client.heard.empty() && stage.waiting.size() == 1 && stage.opened == 0);
+  cr_expect(client.last_contact.empty() && stage.waiting.size() == 1 && stage.opened == 0);
   client.session->on_due(client.due);
   cr_expect(client.verdict() == "BUSY", "a promise, as nothing left");
   // The hold ends while the outcome is on its way.
-  stage.has_hold = true;
+  stage.has_lease = true;
   WireMessage message;
   std::string bytes = wire_ask("t", "WRITE b 1");
   read_wire(bytes, message);
-  client.heard.clear();
+  client.last_contact.clear();
   client.session->take(std::move(message), Clock::now());
   for (int round = 0; round < 2 && stage.databases["leader"].log.empty(); ++round)
     stage.pump();
   cr_expect(stage.databases["leader"].log.size() == 1 && client.verdict().empty());
   bytes = wire_ask("u", "WRITE c 1");
   read_wire(bytes, message);
-  client.heard.clear();
+  client.last_contact.clear();
   client.session->take(std::move(message), Clock::now());
-  stage.has_hold = false;
+  stage.has_lease = false;
   stage.pump();
   cr_expect(client.verdict() == "UNKNOWN");
 }
 
 Test(session, a_read_that_may_be_old_goes_to_a_copy_that_has_enough) {
-  SessionStage stage;
-  SessionStage::Client client(stage);
+  DatabaseSessionFixture stage;
+  DatabaseSessionFixture::Client client(stage);
   stage.start(client, "reports");
   stage.databases["copy"].number = 7;
   stage.after = {1, 7};
--- a/tests/shard_node.h
+++ b/tests/shard_node.h
@@ -12,11 +12,11 @@
 
 // What a request to a node carries of the ring.
 struct RingHead {
-  std::uint64_t mark = 0;
+  std::uint64_t revision = 0;
   std::optional<RingUnit> shown, hidden;
 };
 inline RingHead head_for(const RingView& view, std::size_t node, bool has_units) {
-  RingHead head{view.mark, {}, {}};
+  RingHead head{view.revision, {}, {}};
   const auto told = view.tellings.find(node);
   if (has_units && told != view.tellings.end())
     (told->second.is_shown ? head.shown : head.hidden) = told->second.unit;
@@ -34,7 +34,7 @@
   double work_times = 1, disk_mb_s = 400, way_ms = 1;
   RingMap ring;
   std::map<std::string, Copy> copies;
-  Moment down_until{};
+  TimePoint down_until{};
   double copying_mb_s = 0;
   bool is_closing = true;  // the protection itself; taken out to see the checks fail
 
@@ -66,8 +66,8 @@
   }
   bool gather(const RingHead& head,
               std::vector<std::pair<std::string, std::vector<int>>>& seen) const {
-    for (const auto& [account, mark] : dropped_)
-      if (head.mark < mark && holds(head.shown, account))
+    for (const auto& [account, revision] : dropped_)
+      if (head.revision < revision && holds(head.shown, account))
         return false;
     for (const auto& [account, copy] : copies)
       if (!holds(head.hidden, account) && (copy.is_shown || holds(head.shown, account)))
@@ -75,18 +75,19 @@
     return true;
   }
 
-  NodeAnswer perform(const RingMoves::Order& order, ShardNode& other, double unit_mb, Moment now) {
+  NodeAnswer perform(const ShardMigration::Order& order, ShardNode& other, double unit_mb,
+                     TimePoint now) {
     NodeAnswer answer;
     if (down_until > now)
       return answer;
-    answer.kind = NodeAnswer::Kind::told;
+    answer.type = NodeAnswer::Type::told;
     answer.interface = node_interface;
     Work& work = works_[order.unit];
     if (order.what == "describe")
       return answer.is_done = true, answer;
-    if (order.mark < work.mark)
+    if (order.revision < work.revision)
       return answer;  // of an earlier step, late on its way
-    work.mark = order.mark;
+    work.revision = order.revision;
     answer.is_done = true;
     if (order.what == "open") {
       for (Copy* copy : part(order.unit))
@@ -97,7 +98,7 @@
         copy->is_closed = true;
       answer.position = position(order.unit);
     } else if (order.what == "copy") {
-      if (work.since != Moment{})
+      if (work.since != TimePoint{})
         work.copied +=
             work.pace * std::min(0.8, std::chrono::duration<double>(now - work.since).count());
       work.since = now;
@@ -119,7 +120,7 @@
     } else if (order.what == "drop" || order.what == "clear") {
       for (const std::string& account : names(order.unit)) {
         if (order.what == "drop")
-          dropped_[account] = order.mark;
+          dropped_[account] = order.revision;
         copies.erase(account);
       }
       work.copied = 0, work.since = {};
@@ -129,13 +130,13 @@
 
  private:
   struct Work {
-    std::uint64_t mark = 0;
+    std::uint64_t revision = 0;
     double copied = 0, pace = 0;
-    Moment since{};
+    TimePoint since{};
   };
   bool is_forgotten(const RingHead& head, const std::string& account) const {
     const auto found = dropped_.find(account);
-    return found != dropped_.end() && head.mark < found->second;
+    return found != dropped_.end() && head.revision < found->second;
   }
   std::vector<std::string> names(const RingUnit& unit) const {
     std::vector<std::string> names;
--- a/tests/stage.h
+++ b/tests/stage.h
@@ -8,22 +8,22 @@
 
 namespace saddlewing::tests {
 
-inline constexpr Moment start = Moment{} + 1000s;
+inline constexpr TimePoint start = TimePoint{} + 1000s;
 
 // Stands where an errand acts: notes what it asks, and what it answers.
-class Stage final : public Errand::Ground {
+class RequestFixture final : public ProxiedRequest::Ground {
  public:
   struct Asked {
     std::size_t part;
     Backend* backend;
   };
-  explicit Stage(const std::string& rule, int copies = 2, int tries = 2) {
+  explicit RequestFixture(const std::string& route, int copies = 2, int tries = 2) {
     const std::string body =
         R"({"version":1,"services":[{"name":"s0"},{"name":"s1"},{"name":"s2"},{"name":"s3"}],"routes":[{"host":"h",)"
         R"("path_start":"/a/","give_up_ms":1000,"target_ms":200,"tries":)" +
-        std::to_string(tries) + "," + rule + "}]}";
+        std::to_string(tries) + "," + route + "}]}";
     ConfigurationSnapshot snapshot;
-    const Fault found = read_configuration(body, snapshot);
+    const Error found = read_configuration(body, snapshot);
     cr_assert(!found, "%s", found.text().c_str());
     auto table = std::make_shared<Table>();
     table->configuration = snapshot;
@@ -38,58 +38,59 @@
         table->by_service[service].push_back(backend);
       }
     table_ = table;
-    errand = std::make_unique<Errand>(*this, table_, snapshot->rules[0], start, Span(1000));
+    request =
+        std::make_unique<ProxiedRequest>(*this, table_, snapshot->routes[0], start, Duration(1000));
   }
-  bool ask(Asker&, std::size_t part, Backend& backend, Moment) override {
+  bool ask(Requester&, std::size_t part, Backend& backend, TimePoint) override {
     asked.push_back({part, &backend});
     return true;
   }
-  void answer(Errand&, FinalAnswer answer, Moment) override {
+  void answer(ProxiedRequest&, FinalAnswer answer, TimePoint) override {
     ++answers;
     final = std::move(answer);
   }
-  Budget& budget(const std::string& service) override {
-    return budgets_.try_emplace(service, Span(10000), 0.2).first->second;
+  RetryBudget& budget(const std::string& service) override {
+    return budgets_.try_emplace(service, Duration(10000), 0.2).first->second;
   }
-  double reserve(Moment) override {
+  double reserve(TimePoint) override {
     return extra_reserve;
   }
   PickResult pick(const std::vector<BackendPointer>& backends,
-                  const std::vector<const Backend*>& tried, int, Moment now,
-                  const PickWish& wish) override {
+                  const std::vector<const Backend*>& tried, int, TimePoint now,
+                  const PickConstraints& wish) override {
     return picker_.pick(backends, tried, 1000, now, wish);
   }
-  AidTaken call_aid(Errand&, Span, Moment) override {
-    return {aided_parts, "far"};
+  Delegation delegate(ProxiedRequest&, Duration, TimePoint) override {
+    return {delegated_parts, "far"};
   }
-  void miss_aid(Errand&, Moment) override {
+  void delegation_is_late(ProxiedRequest&, TimePoint) override {
     ++missed_aids;
   }
-  PickWish wish(const Errand&, const std::string&, Moment) override {
+  PickConstraints wish(const ProxiedRequest&, const std::string&, TimePoint) override {
     return own_wish;
   }
-  bool wait_turn(Errand&, Moment) override {
+  bool wait_turn(ProxiedRequest&, TimePoint) override {
     ++turns_wanted;
     return has_turns;
   }
-  Pace& pace(const Rule&) override {
+  LatencyEstimate& pace(const Route&) override {
     return pace_;
   }
   double draw() override {
     return 0.5;
   }
 
-  static BackendOutcome good(const std::string& seal, const std::string& body = "") {
+  static BackendResponse good(const std::string& seal, const std::string& body = "") {
     return {200, false, "OK", "", seal, body};
   }
-  static BackendOutcome failed(int status, bool is_not_run) {
+  static BackendResponse failed(int status, bool is_not_run) {
     return {status, is_not_run, "Bad", "X: y\r\n", "q", "failure"};
   }
-  void take(std::size_t part, BackendOutcome outcome, Moment now = start + 20ms) {
-    errand->take_outcome(part, std::move(outcome), Span(20), now);
+  void take(std::size_t part, BackendResponse outcome, TimePoint now = start + 20ms) {
+    request->handle_response(part, std::move(outcome), Duration(20), now);
   }
   int status() const {
-    return final.kind == Kind::none ? final.status : status_of(final.kind).status;
+    return final.kind == ErrorCode::none ? final.status : status_of(final.kind).status;
   }
   void cancel_service(std::size_t service) {
     for (const BackendPointer& backend : table_->by_service[service])
@@ -99,18 +100,18 @@
   std::vector<Asked> asked;
   FinalAnswer final;
   int answers = 0, missed_aids = 0;
-  std::vector<std::size_t> aided_parts;
+  std::vector<std::size_t> delegated_parts;
   double extra_reserve = 10;
-  PickWish own_wish;
+  PickConstraints own_wish;
   bool has_turns = false;
   int turns_wanted = 0;
-  std::unique_ptr<Errand> errand;
+  std::unique_ptr<ProxiedRequest> request;
 
  private:
   TableSnapshot table_;
-  std::map<std::string, Budget> budgets_;
-  Picker picker_{{"", ""}, 1};
-  Pace pace_;
+  std::map<std::string, RetryBudget> budgets_;
+  LoadBalancer picker_{{"", ""}, 1};
+  LatencyEstimate pace_;
 };
 
 inline const char single[] = R"("sort":"harmless","service":"s0")";
@@ -118,9 +119,9 @@
 inline const char gathered[] =
     R"("sort":"harmless","ask_all":["s0","s1","s2","s3"],"best_count":2,"fewest_parts":0.75)";
 
-inline Aided frame(std::vector<Aided::Done> done, std::vector<Aided::Failed> failed,
-                   std::string records) {
-  Aided aided;
+inline GatherResult frame(std::vector<GatherResult::Done> done,
+                          std::vector<GatherResult::Failed> failed, std::string records) {
+  GatherResult aided;
   aided.done = std::move(done);
   aided.failed = std::move(failed);
   aided.records = std::move(records);
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -11,8 +11,8 @@
 const std::string services =
     R"("services":[{"name":"s","health_path":"/w","most_connections":5},{"name":"t"}])";
 
-std::string configuration(const std::string& rule, const std::string& rest = "") {
-  return R"({"version":7,"routes":[)" + rule + "]," + services + rest + "}";
+std::string configuration(const std::string& route, const std::string& rest = "") {
+  return R"({"version":7,"routes":[)" + route + "]," + services + rest + "}";
 }
 
 std::string complaint(const std::string& body) {
@@ -26,16 +26,16 @@
   RaftMessage message;
   message.type = RaftMessage::Type::append;
   message.piece.emplace().bytes = "four";
-  message.piece->former = {{MemberId{2}, "b"}};
+  message.piece->outgoing = {{MemberId{2}, "b"}};
   message.members = {{MemberId{1}, "a"}};
-  const std::string bytes = encode({FrameKind::raft, LifeId{9}, "10.0.0.1:7"}, message);
+  const std::string bytes = encode({FrameKind::raft, IncarnationId{9}, "10.0.0.1:7"}, message);
   const auto is_read = [](std::string_view frame) {
     ByteReader reader(frame);
     FrameHead head;
     RaftMessage read;
     return decode_head(reader, head) && head.kind == FrameKind::raft && decode(reader, read) &&
            read.piece->bytes == "four" &&
-           read.piece->former == std::vector<Member>{{MemberId{2}, "b"}};
+           read.piece->outgoing == std::vector<Member>{{MemberId{2}, "b"}};
   };
   cr_expect(is_read(bytes));
   cr_expect(!is_read(bytes + "x"));
@@ -50,8 +50,8 @@
       R"({"host":"h.example","path_start":"/a/b/","sort":"harmless","give_up_ms":100,"ask_all":["s","t"],"best_count":5,"fewest_parts":0.5,"tries":2})");
   cr_assert(!read_configuration(body, snapshot));
   cr_expect(snapshot->body == body);
-  cr_expect(snapshot->match("h.EXAMPLE:80", "/a/b/c") == &snapshot->rules[1]);
-  cr_expect(snapshot->match("h.example", "/a/x?/a/b/") == &snapshot->rules[0]);
+  cr_expect(snapshot->match("h.EXAMPLE:80", "/a/b/c") == &snapshot->routes[1]);
+  cr_expect(snapshot->match("h.example", "/a/x?/a/b/") == &snapshot->routes[0]);
   cr_expect(snapshot->match("h.example", "/ax/") == nullptr);
   cr_expect(snapshot->match("other", "/a/") == nullptr);
 }
@@ -113,27 +113,30 @@
   cr_expect(!complaint(std::string(100000, '[')).empty());
 }
 
-Test(startup, what_is_wrong_is_named) {
+Test(settings, what_is_wrong_is_named) {
   const std::string good =
       R"({"node_name":"n","ip_address":"10.0.0.1","zone":"z","first_contacts":["10.0.0.2:8"],"spare_ports":[7000,7010],
     "listens_on":{"front":"10.0.0.1:80","ready_check":"10.0.0.1:81"},"unknown":{"x":1})";
-  Startup startup;
-  cr_assert(!check_startup(good + "}", false, startup));
-  cr_expect(startup.inner_port == 7000 && startup.contacts.size() == 1);
-  cr_expect(check_startup(good + "}", true, startup).step == "data_folder is missing");
-  cr_expect(check_startup(good + R"(,"time_bounds":{"retry_share":2}})", false, startup).step ==
-            "time_bounds.retry_share is out of range");
-  cr_expect(check_startup(good + R"(,"time_bounds":{"grace_s":"6"}})", false, startup).step ==
-            "time_bounds.grace_s is not a number");
-  cr_expect(check_startup(good + R"(,"options":{"hold_ms":100}})", false, startup).step ==
+  NodeSettings settings;
+  cr_assert(!parse_node_settings(good + "}", false, settings));
+  cr_expect(settings.inner_port == 7000 && settings.contacts.size() == 1);
+  cr_expect(parse_node_settings(good + "}", true, settings).step == "data_folder is missing");
+  cr_expect(
+      parse_node_settings(good + R"(,"time_bounds":{"retry_share":2}})", false, settings).step ==
+      "time_bounds.retry_share is out of range");
+  cr_expect(
+      parse_node_settings(good + R"(,"time_bounds":{"grace_s":"6"}})", false, settings).step ==
+      "time_bounds.grace_s is not a number");
+  cr_expect(parse_node_settings(good + R"(,"options":{"hold_ms":100}})", false, settings).step ==
             "options.hold_ms is under twice options.renewal_ms");
-  cr_assert(!check_startup(good + R"(,"time_bounds":{"empty_out_ms":900,"take_effect_ms":900}})",
-                           false, startup));
+  cr_assert(!parse_node_settings(
+      good + R"(,"time_bounds":{"empty_out_ms":900,"take_effect_ms":900}})", false, settings));
+  cr_expect(settings.listing * 3 + settings.follow <= Duration(900) &&
+                settings.rollout_wait * 3 <= Duration(900),
+            "options follow tight bounds");
   cr_expect(
-      startup.listing * 3 + startup.follow <= Span(900) && startup.rollout_wait * 3 <= Span(900),
-      "options follow tight bounds");
-  cr_expect(check_startup(good + R"(,"options":{"listing_ms":1000}})", false, startup).step ==
-            "options.listing_ms is too long for time_bounds.empty_out_ms");
+      parse_node_settings(good + R"(,"options":{"listing_ms":1000}})", false, settings).step ==
+      "options.listing_ms is too long for time_bounds.empty_out_ms");
   for (const auto& [options, complaint] :
        {std::pair(R"("heavy_times":1)", "options.heavy_times is between 0 and 1.5"),
         {R"("heavy_times":-1)", "options.heavy_times is out of range"},
@@ -143,22 +146,24 @@
         {R"("edges_least_samples":2)", "options.edges_least_samples is out of range"},
         {R"("edges_fade_ms":900)", "options.edges_fade_ms is under four times options.follow_ms"}})
     cr_expect(
-        check_startup(good + R"(,"options":{)" + options + "}}", false, startup).step == complaint,
+        parse_node_settings(good + R"(,"options":{)" + options + "}}", false, settings).step ==
+            complaint,
         "%s", complaint);
   const std::string registry =
       R"({"node_name":"n","ip_address":"10.0.0.1","zone":"z","data_folder":"/d","first_contacts":["10.0.0.2:8"],"spare_ports":[7000,7010],
     "listens_on":{"control":"10.0.0.1:80"},"provider_api":{"address":"10.0.0.9:80"})";
-  cr_assert(!check_startup(registry + R"(,"time_bounds":{"catch_up_s":6}})", true, startup));
-  cr_expect(startup.catch_up == Span(6000));
+  cr_assert(!parse_node_settings(registry + R"(,"time_bounds":{"catch_up_s":6}})", true, settings));
+  cr_expect(settings.catch_up == Duration(6000));
   for (const auto& [bounds, complaint] :
        {std::pair(R"({"catch_up_s":-1})", "time_bounds.catch_up_s is out of range"),
         {R"({"catch_up_s":"6"})", "time_bounds.catch_up_s is not a number"},
         {R"({})", "time_bounds.catch_up_s is missing"}}) {
-    cr_expect(check_startup(registry + R"(,"time_bounds":)" + bounds + "}", true, startup).step ==
-                  complaint,
-              "%s", complaint);
-    cr_expect(startup.catch_up == Span(6000), "nothing changed");
+    cr_expect(
+        parse_node_settings(registry + R"(,"time_bounds":)" + bounds + "}", true, settings).step ==
+            complaint,
+        "%s", complaint);
+    cr_expect(settings.catch_up == Duration(6000), "nothing changed");
   }
-  cr_expect(check_startup("{", false, startup).code == Kind::unreadable);
-  cr_expect(read_startup("/nowhere", false, startup).code == Kind::unreadable);
+  cr_expect(parse_node_settings("{", false, settings).code == ErrorCode::unreadable);
+  cr_expect(read_node_settings("/nowhere", false, settings).code == ErrorCode::unreadable);
 }
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 using Failure = DiskModel::Failure;
-using Found = Store::Found;
+using Found = DurableStore::Found;
 
-Durable durable_of(std::uint64_t index, const std::string& body) {
+PersistentState durable_of(std::uint64_t index, const std::string& body) {
   auto entry = std::make_shared<Entry>();
   entry->term = {3};
   entry->index = {index};
@@ -34,53 +34,56 @@
   return body;
 }
 
-Found load(const std::string& folder, Durable& durable) {
-  Fault why;
-  return Store(folder).load(durable, why);
+Found load(const std::string& folder, PersistentState& persistent) {
+  Error why;
+  return DurableStore(folder).load(persistent, why);
 }
 
 // The index of what is found; 0: nothing, or a record named as damaged.
 std::uint64_t index_in(const std::string& folder, std::size_t size) {
-  Durable durable;
-  const Found found = load(folder, durable);
+  PersistentState persistent;
+  const Found found = load(folder, persistent);
   cr_assert(found != Found::unknown_format && found != Found::unreadable);
   if (found != Found::record)
     return 0;
-  const std::uint64_t index = durable.entry->index.value;
-  cr_assert(durable.entry->body == body_of(index, size) && durable.self.value == 5 &&
-            durable.vote.value == 5);
+  const std::uint64_t index = persistent.entry->index.value;
+  cr_assert(persistent.entry->body == body_of(index, size) && persistent.self.value == 5 &&
+            persistent.vote.value == 5);
   return index;
 }
 
-// Every outcome of a loss of power now leaves a record no older than `least` and no newer than
-// `most`.
-std::size_t expect_losses(const DiskModel& disk, std::size_t count, std::uint64_t least,
-                          std::uint64_t most, std::size_t size) {
+// Every outcome of a loss of power now leaves a record no older than `minimum` and no newer than
+// `limit`.
+std::size_t expect_losses(const DiskModel& disk, std::size_t count, std::uint64_t minimum,
+                          std::uint64_t limit, std::size_t size) {
   const Folder after;
-  return disk.for_each_loss(count, least * 31 + most, [&](const Files& files) {
+  return disk.for_each_loss(count, minimum * 31 + limit, [&](const Files& files) {
     fill_folder(after.path(), files);
     const std::uint64_t index = index_in(after.path(), size);
-    cr_assert(index >= least && index <= most, "found %d, of %d to %d", int(index), int(least),
-              int(most));
+    cr_assert(index >= minimum && index <= limit, "found %d, of %d to %d", int(index), int(minimum),
+              int(limit));
   });
 }
 
 // As the landing before the slots wrote it: fresh.mdb, synced, renamed over state.mdb, its record
 // closed by a CRC.
-std::string first_format(const Durable& durable) {
+std::string first_format(const PersistentState& persistent) {
   Writer writer;
-  writer.number(1).number(durable.self.value).number(durable.term.value).number(durable.vote.value);
-  write_entry(writer, *durable.entry);
+  writer.number(1)
+      .number(persistent.self.value)
+      .number(persistent.term.value)
+      .number(persistent.vote.value);
+  write_entry(writer, *persistent.entry);
   boost::crc_32_type crc;
   crc.process_bytes(writer.bytes().data(), writer.bytes().size());
   writer.number(crc.checksum());
   return writer.take();
 }
 
-bool save_by_rename(DiskModel& disk, const std::string& folder, const Durable& durable) {
+bool save_by_rename(DiskModel& disk, const std::string& folder, const PersistentState& persistent) {
   const std::string fresh = folder + "/fresh.mdb";
   disk.remove(fresh);
-  return !disk.clear(fresh) && !disk.write_image(fresh, first_format(durable)) &&
+  return !disk.clear(fresh) && !disk.write_image(fresh, first_format(persistent)) &&
          !disk.sync(fresh) && !disk.rename(fresh, folder + "/state.mdb") &&
          !disk.sync_folder(folder);
 }
@@ -89,9 +92,9 @@
 
 Test(store, gives_back_what_was_saved_last) {
   const Folder folder;
-  Store store(folder.path());
-  Durable found;
-  Fault why;
+  DurableStore store(folder.path());
+  PersistentState found;
+  Error why;
   cr_expect(store.load(found, why) == Found::nothing);
   cr_assert(!store.save(durable_of(1, "one")));
   cr_assert(!store.save(durable_of(2, std::string(200000, 'x'))));
@@ -100,7 +103,7 @@
             found.self.value == 5);
   cr_expect(found.entry->members == durable_of(2, "").entry->members);
   for (std::uint64_t index = 3; index < 9; ++index) {  // of a new life each
-    cr_assert(!Store(folder.path()).save(durable_of(index, "again")));
+    cr_assert(!DurableStore(folder.path()).save(durable_of(index, "again")));
     cr_assert(load(folder.path(), found) == Found::record);
     cr_expect(found.entry->index.value == index);
   }
@@ -114,7 +117,7 @@
       for (int number = 1;; ++number) {
         const Folder folder;
         const auto disk = std::make_shared<DiskModel>(folder.path());
-        Store store(folder.path(), disk);
+        DurableStore store(folder.path(), disk);
         for (std::uint64_t index = 1; index <= before; ++index)
           cr_assert(!store.save(durable_of(index, body_of(index, 40))));
         disk->fail(number, failure);
@@ -142,7 +145,7 @@
       const Folder folder;
       const auto disk = std::make_shared<DiskModel>(folder.path());
       disk->is_strict = is_strict;
-      Store store(folder.path(), disk);
+      DurableStore store(folder.path(), disk);
       std::uint64_t saved = 0;
       std::size_t tried = 0;
       disk->after_each = [&] {
@@ -166,7 +169,7 @@
         const Folder folder;
         const auto disk = std::make_shared<DiskModel>(folder.path());
         disk->is_strict = is_strict;
-        Store first(folder.path(), disk);
+        DurableStore first(folder.path(), disk);
         for (std::uint64_t index = 1; index <= before; ++index)
           cr_assert(!first.save(durable_of(index, body_of(index, 40))));
         disk->fail(number, Failure::killed);
@@ -177,7 +180,7 @@
         disk->recover();
         const std::uint64_t held = index_in(folder.path(), 40);
         cr_assert(held >= saved && held <= before + 1);
-        Store second(folder.path(), disk);
+        DurableStore second(folder.path(), disk);
         disk->after_each = [&] {
           expect_losses(*disk, 300, saved, saved < before + 2 ? before + 2 : before + 3, 40);
         };
@@ -195,7 +198,7 @@
     const Folder folder;
     const auto disk = std::make_shared<DiskModel>(folder.path());
     disk->is_strict = seed % 2;
-    auto store = std::make_unique<Store>(folder.path(), disk);
+    auto store = std::make_unique<DurableStore>(folder.path(), disk);
     const std::size_t size = seed % 3 ? 40 : 9000;
     std::uint64_t saved = 0, tried = 0;
     for (int step = 0; step < 14; ++step) {
@@ -209,7 +212,7 @@
       disk->recover();
       cr_assert(index_in(folder.path(), size) >= saved, "day %d step %d", int(seed), step);
       if (is_killed)
-        store = std::make_unique<Store>(folder.path(), disk);
+        store = std::make_unique<DurableStore>(folder.path(), disk);
       if (draw < 6)
         continue;
       std::vector<Files> outcomes;
@@ -218,7 +221,7 @@
       const std::uint64_t index = index_in(folder.path(), size);
       cr_assert(index >= saved && index <= tried, "day %d step %d: %d, saved %d", int(seed), step,
                 int(index), int(saved));
-      store = std::make_unique<Store>(folder.path(), disk);
+      store = std::make_unique<DurableStore>(folder.path(), disk);
     }
   }
 }
@@ -246,7 +249,7 @@
 Test(store, a_store_of_before_the_slots_is_read) {
   for (const std::size_t size : {40, 9000, 400000}) {
     const Folder folder, old, after;
-    Disk plain;
+    FileSystem plain;
     for (const std::uint64_t index : {1, 2})
       cr_assert(!plain.write_image(old.path() + "/" + std::to_string(index),
                                    first_format(durable_of(index, body_of(index, size)))));
@@ -268,7 +271,7 @@
       const auto disk = std::make_shared<DiskModel>(folder.path());
       disk->lose(row.files);
       cr_expect(index_in(folder.path(), size) == row.index);
-      Store store(folder.path(), disk);
+      DurableStore store(folder.path(), disk);
       std::uint64_t saved = row.index;
       disk->after_each = [&] {
         expect_losses(*disk,
@@ -291,9 +294,9 @@
 // would end the process on some.
 Test(store, a_damaged_record_is_never_served) {
   const Folder folder;
-  cr_assert(!Store(folder.path()).save(durable_of(1, std::string(5000, 'q'))));
+  cr_assert(!DurableStore(folder.path()).save(durable_of(1, std::string(5000, 'q'))));
   const std::string path = folder.path() + "/slot-0.mdb", bytes = read_file(path);
-  Durable found;
+  PersistentState found;
   for (std::size_t at = 0; at < bytes.size(); ++at) {
     std::string changed = bytes;
     changed[at] ^= 1 << at % 8;
@@ -316,7 +319,7 @@
   for (const std::size_t size : {40, 5000}) {
     const Folder folder;
     const std::string path = folder.path() + "/state.mdb";
-    cr_assert(!Disk().write_image(path, first_format(durable_of(1, body_of(1, size)))));
+    cr_assert(!FileSystem().write_image(path, first_format(durable_of(1, body_of(1, size)))));
     const std::string bytes = read_file(path);
     std::size_t damaged = 0;
     for (std::size_t at = 0; at < bytes.size(); ++at) {
@@ -337,16 +340,16 @@
 // written.
 Test(store, an_unknown_format_is_refused_and_left_alone) {
   const Folder folder, old;
-  Store store(folder.path());
+  DurableStore store(folder.path());
   for (const std::uint64_t index : {1, 2})
     cr_assert(!store.save(durable_of(index, body_of(index, 40))));
   const Files whole = read_folder(folder.path());
   const std::string first = whole.at("slot-0.mdb"), second = whole.at("slot-1.mdb");
-  std::string record = encode_durable(durable_of(1, "later"));
+  std::string record = encode_persistent_state(durable_of(1, "later"));
   record[0] = 3;
   const std::uint64_t sum = XXH3_64bits(record.data(), record.size() - 8);
   std::memcpy(record.data() + record.size() - 8, &sum, sizeof sum);
-  Disk plain;
+  FileSystem plain;
   cr_assert(!plain.write_image(old.path() + "/1", record));
   const std::string image = read_file(old.path() + "/1");
   const Files rows[] = {{{"slot-0.mdb", of_later_format(first)}, {"slot-1.mdb", second}},
@@ -356,9 +359,9 @@
                         {{"state.mdb", image}}};
   for (const Files& files : rows) {
     fill_folder(folder.path(), files);
-    Durable found;
-    Fault why;
-    Store later(folder.path());
+    PersistentState found;
+    Error why;
+    DurableStore later(folder.path());
     cr_expect(later.load(found, why) == Found::unknown_format);
     cr_expect(why.text().find("format") != std::string::npos &&
                   why.text().find(".mdb") != std::string::npos,
@@ -372,12 +375,12 @@
 // is founded.
 Test(store, an_unreadable_slot_is_refused) {
   const Folder folder;
-  Store store(folder.path());
+  DurableStore store(folder.path());
   cr_assert(!store.save(durable_of(1, "one")));
   cr_assert(std::filesystem::create_directory(folder.path() + "/slot-1.mdb"));
   const std::string whole = read_file(folder.path() + "/slot-0.mdb");
-  Durable found;
-  Store later(folder.path());
+  PersistentState found;
+  DurableStore later(folder.path());
   cr_expect(load(folder.path(), found) == Found::unreadable);
   cr_expect(later.save(durable_of(2, "two")));
   cr_expect(read_file(folder.path() + "/slot-0.mdb") == whole);
@@ -389,7 +392,7 @@
 // The system's own refusals: a limit on the size of files stands for a full disk.
 Test(store, a_full_disk_loses_nothing) {
   const Folder folder;
-  Store store(folder.path());
+  DurableStore store(folder.path());
   cr_assert(!store.save(durable_of(1, body_of(1, 40))));
   std::signal(SIGXFSZ, SIG_IGN);
   rlimit limit{};
@@ -409,7 +412,7 @@
 Test(store, a_save_costs_one_sync) {
   const Folder folder;
   const auto disk = std::make_shared<DiskModel>(folder.path());
-  Store store(folder.path(), disk);
+  DurableStore store(folder.path(), disk);
   for (const std::uint64_t index : {1, 2})
     cr_assert(!store.save(durable_of(index, body_of(index, 40))));
   for (const std::size_t size : {4000, 4000000}) {
--- a/tools/capacity.cpp
+++ b/tools/capacity.cpp
@@ -30,7 +30,7 @@
 
 constexpr double registry_mb = 40, hollow_mb = 0.12,
                  backend_mb = 0.02;  // guesses for the check before a run
-constexpr Span follow_every{400}, fetch_again{600}, count_every{1000};  // as a broker does
+constexpr Duration follow_every{400}, fetch_again{600}, count_every{1000};  // as a broker does
 
 std::string write(const Json::Value& value) {
   Json::StreamWriterBuilder builder;
@@ -43,31 +43,31 @@
 }
 
 // The platform's list and every backend's health answer, on one port.
-class Platform final : public Server::Handler {
+class Platform final : public HttpServer::Handler {
  public:
-  Platform(Poller& poller, Schedule& schedule, int backends, int services)
-      : server_(poller, schedule, *this, 65536, std::size_t{1} << 30),
+  Platform(Poller& poller, TimerQueue& timers, int backends, int services)
+      : server_(poller, timers, *this, 65536, std::size_t{1} << 30),
         backends_(backends),
         services_(services) {
-    server_.set_limits({65536, 8 << 20, Span(60000), Span(600000)});
+    server_.set_limits({65536, 8 << 20, Duration(60000), Duration(600000)});
   }
-  Fault open(const Address& address) {
+  Error open(const Address& address) {
     address_ = address;
     return server_.open(address);
   }
-  void on_request(Visit& visit, Moment now) override {
-    const std::string& target = visit.request().getURI();
+  void on_request(ServerExchange& exchange, TimePoint now) override {
+    const std::string& target = exchange.request().getURI();
     if (!target.starts_with("/backends")) {
       ++probes;
-      return visit.answer({200, "OK",
-                           std::string(field::server_id) + ": " +
-                               visit.request().get(field::meant_server, "") + "\r\n",
-                           "well\n"},
-                          now);
+      return exchange.answer({200, "OK",
+                              std::string(field::server_id) + ": " +
+                                  exchange.request().get(field::meant_server, "") + "\r\n",
+                              "well\n"},
+                             now);
     }
     constexpr int page = 500;
-    const auto place = target.find("page_token=");
-    const int first = place == std::string::npos ? 0 : std::atoi(target.c_str() + place + 11);
+    const auto position = target.find("page_token=");
+    const int first = position == std::string::npos ? 0 : std::atoi(target.c_str() + position + 11);
     Json::Value root(Json::objectValue);
     root["backends"] = Json::Value(Json::arrayValue);
     for (int number = first; number < std::min(first + page, backends_); ++number) {
@@ -86,9 +86,9 @@
     }
     root["next_token"] =
         first + page < backends_ ? Json::Value(std::to_string(first + page)) : Json::Value();
-    visit.answer({200, "OK", "Content-Type: application/json\r\n", write(root)}, now);
+    exchange.answer({200, "OK", "Content-Type: application/json\r\n", write(root)}, now);
   }
-  void on_gone(Visit&) override {
+  void on_gone(ServerExchange&) override {
   }
   void reap() {
     server_.reap();
@@ -97,34 +97,34 @@
   std::uint64_t probes = 0;
 
  private:
-  Server server_;
+  HttpServer server_;
   Address address_;
   int backends_, services_;
 };
 
 // One call after another to the registry's control address.
-class Operator final : public CallOwner {
+class Operator final : public HttpCallObserver {
  public:
   Operator(Poller& poller, const Address& address) : poller_(poller), address_(address) {
   }
   void put(const std::string& body) {
     if (is_waiting)
       return;
-    if (!caller_ || caller_->state() == Caller::State::ended)
-      caller_ = std::make_unique<Caller>(poller_, *this, address_, 65536, 1 << 20);
+    if (!caller_ || caller_->state() == HttpClientConnection::State::ended)
+      caller_ = std::make_unique<HttpClientConnection>(poller_, *this, address_, 65536, 1 << 20);
     is_waiting = caller_->ask(
         "PUT /settings HTTP/1.1\r\nHost: a\r\nContent-Type: application/json\r\nContent-Length: " +
             std::to_string(body.size()) + "\r\n\r\n" + body,
         false);
   }
-  void on_outcome(Caller& caller, Moment) override {
+  void on_response(HttpClientConnection& caller, TimePoint) override {
     is_waiting = false;
     taken += caller.reader().response().getStatus() == 200;
   }
-  void on_breakdown(Caller&, Kind, Moment) override {
+  void on_failure(HttpClientConnection&, ErrorCode, TimePoint) override {
     is_waiting = false;
   }
-  void on_idle_end(Caller&) override {
+  void on_idle_end(HttpClientConnection&) override {
   }
   bool is_waiting = false;
   int taken = 0;
@@ -132,15 +132,15 @@
  private:
   Poller& poller_;
   Address address_;
-  std::unique_ptr<Caller> caller_;
+  std::unique_ptr<HttpClientConnection> caller_;
 };
 
 struct Hollow {
-  std::unique_ptr<Spoke> spoke;
+  std::unique_ptr<FrameClient> client;
   std::string address;
-  Moment due{}, fetched{}, counted{};
+  TimePoint due{}, fetched{}, counted{};
   Version held, wanted;
-  std::uint64_t life = 0, mark = 0, seats_mark = 0, edges_held = 0;
+  std::uint64_t incarnation = 0, revision = 0, brokers_revision = 0, edges_held = 0;
 };
 
 struct Wanted {
@@ -163,7 +163,7 @@
   std::istringstream fields(text.substr(text.rfind(')') + 2));
   std::string skipped;
   double user = 0, kernel = 0;
-  for (int place = 3; place < 14; ++place)
+  for (int position = 3; position < 14; ++position)
     fields >> skipped;
   fields >> user >> kernel;
   usage.processor_s = (user + kernel) / static_cast<double>(sysconf(_SC_CLK_TCK));
@@ -219,17 +219,17 @@
     root["services"].append(service);
   }
   for (int number = 0; number < wanted.routes; ++number) {
-    Json::Value route(Json::objectValue);
-    route["name"] = "route-" + std::to_string(number);
-    route["host"] = "search.example";
-    route["path_start"] = "/r" + std::to_string(number) + "/";
-    route["sort"] = "harmless";
-    route["give_up_ms"] = 1500;
-    route["target_ms"] = 210;
-    route["rank"] = 1;
-    route["tries"] = 2;
-    route["service"] = service_name(number % wanted.services);
-    root["routes"].append(route);
+    Json::Value routing_id(Json::objectValue);
+    routing_id["name"] = "route-" + std::to_string(number);
+    routing_id["host"] = "search.example";
+    routing_id["path_start"] = "/r" + std::to_string(number) + "/";
+    routing_id["sort"] = "harmless";
+    routing_id["give_up_ms"] = 1500;
+    routing_id["target_ms"] = 210;
+    routing_id["rank"] = 1;
+    routing_id["tries"] = 2;
+    routing_id["service"] = service_name(number % wanted.services);
+    root["routes"].append(routing_id);
   }
   return write(root);
 }
@@ -264,12 +264,12 @@
 class Hollows {
  public:
   Hollows(int count, int port, int cells) {
-    const Moment now = Clock::now();
+    const TimePoint now = Clock::now();
     for (int number = 0; number < count; ++number) {
       if (number % per_context == 0)
         contexts_.push_back(std::make_unique<LinkContext>());
       Hollow hollow;
-      hollow.spoke = std::make_unique<Spoke>(*contexts_.back(), Address{"127.0.0.1", port});
+      hollow.client = std::make_unique<FrameClient>(*contexts_.back(), Address{"127.0.0.1", port});
       hollow.address =
           "10.1." + std::to_string(number / 250) + "." + std::to_string(number % 250) + ":7001";
       hollow.due = now + follow_every * number / std::max(1, count);
@@ -277,10 +277,10 @@
     }
     cells_ = cells;
   }
-  void turn(Moment now) {
+  void turn(TimePoint now) {
     for (Hollow& hollow : hollows_) {
-      while (auto parcel = hollow.spoke->receive())
-        take(hollow, *parcel);
+      while (auto frame = hollow.client->receive())
+        take(hollow, *frame);
       if (now < hollow.due)
         continue;
       hollow.due = now + follow_every;
@@ -292,22 +292,22 @@
         std::count_if(hollows_.begin(), hollows_.end(),
                       [&](const Hollow& hollow) { return hollow.held >= version; }));
   }
-  std::uint64_t sent_bytes = 0, sent = 0, heard_bytes = 0, heard = 0;
+  std::uint64_t sent_bytes = 0, sent = 0, received_bytes = 0, last_contact = 0;
 
  private:
   static constexpr int per_context = 250;
   void follow(Hollow& hollow, bool wants_body = false) {
-    Follow follow;
+    SubscribeRequest follow;
     follow.version = hollow.held;
-    follow.roster_life = hollow.life;
-    follow.roster_mark = hollow.mark;
+    follow.endpoints_incarnation = hollow.incarnation;
+    follow.endpoints_revision = hollow.revision;
     follow.wants_body = wants_body;
-    follow.wants_roster = true;
+    follow.wants_endpoints = true;
     follow.region = "region-" + std::to_string(&hollow - hollows_.data() & 3);
     follow.is_ready = true;
-    follow.seats_mark = hollow.seats_mark;
+    follow.brokers_revision = hollow.brokers_revision;
     follow.edges_held = hollow.edges_held;
-    if (const Moment now = Clock::now(); cells_ && now - hollow.counted >= count_every) {
+    if (const TimePoint now = Clock::now(); cells_ && now - hollow.counted >= count_every) {
       hollow.counted = now;
       EdgeCounts counts(static_cast<std::size_t>(cells_));
       for (int cell = 0; cell < cells_; ++cell)
@@ -316,36 +316,36 @@
       follow.edge_counts = counts.take();
     }
     const std::string bytes =
-        encode(FrameHead{FrameKind::follow, LifeId{7}, hollow.address}, follow);
-    if (hollow.spoke->send(bytes))
+        encode(FrameHead{FrameKind::follow, IncarnationId{7}, hollow.address}, follow);
+    if (hollow.client->send(bytes))
       ++sent, sent_bytes += bytes.size();
   }
-  void take(Hollow& hollow, const Parcel& parcel) {
-    ++heard, heard_bytes += parcel.bytes.size();
-    ByteReader reader(parcel.bytes);
+  void take(Hollow& hollow, const ReceivedFrame& frame) {
+    ++last_contact, received_bytes += frame.bytes.size();
+    ByteReader reader(frame.bytes);
     FrameHead head;
     if (!decode_head(reader, head))
       return;
-    if (head.kind == FrameKind::beat) {
-      Beat beat;
-      if (!decode(reader, beat))
+    if (head.kind == FrameKind::heartbeat) {
+      ControlHeartbeat heartbeat;
+      if (!decode(reader, heartbeat))
         return;
-      hollow.seats_mark = beat.seats_mark;
-      const Moment now = Clock::now();
-      if (beat.version <= hollow.held ||
-          (beat.version == hollow.wanted && now - hollow.fetched < fetch_again))
+      hollow.brokers_revision = heartbeat.brokers_revision;
+      const TimePoint now = Clock::now();
+      if (heartbeat.version <= hollow.held ||
+          (heartbeat.version == hollow.wanted && now - hollow.fetched < fetch_again))
         return;
-      hollow.wanted = beat.version;
+      hollow.wanted = heartbeat.version;
       hollow.fetched = now;
       follow(hollow, true);
     } else if (head.kind == FrameKind::body) {
-      Body body;
+      ConfigurationPayload body;
       if (decode(reader, body))
         hollow.held = std::max(hollow.held, body.version);
-    } else if (head.kind == FrameKind::roster) {
-      Roster roster;
-      if (decode(reader, roster))
-        hollow.life = head.life.value, hollow.mark = roster.mark;
+    } else if (head.kind == FrameKind::endpoints) {
+      EndpointList endpoints;
+      if (decode(reader, endpoints))
+        hollow.incarnation = head.incarnation.value, hollow.revision = endpoints.revision;
     }
   }
   std::vector<std::unique_ptr<LinkContext>> contexts_;
@@ -360,8 +360,8 @@
   std::filesystem::remove_all(folder);
   std::filesystem::create_directories(folder / "data");
   Poller poller;
-  Schedule schedule;
-  Platform platform(poller, schedule, wanted.backends, wanted.services);
+  TimerQueue timers;
+  Platform platform(poller, timers, wanted.backends, wanted.services);
   const int port = wanted.first_port;
   if (platform.open({"127.0.0.1", port + 9}))
     return {};
@@ -374,36 +374,37 @@
   Hollows hollows(wanted.brokers, port, wanted.edge_cells);
   Operator caller(poller, {"127.0.0.1", port + 2});
   int version = 1, put = 0;
-  Moment put_at{};
-  const auto turn = [&](Moment now) {
-    poller.poll(Span(1));
-    schedule.run(now);
+  TimePoint put_at{};
+  const auto turn = [&](TimePoint now) {
+    poller.poll(Duration(1));
+    timers.run(now);
     platform.reap();
     hollows.turn(now);
   };
-  const Moment born = Clock::now();
+  const TimePoint born = Clock::now();
   while (Clock::now() < born + 30s &&
          (caller.taken == 0 ||
           hollows.holding(Version{1}) < static_cast<std::size_t>(wanted.brokers))) {
-    const Moment now = Clock::now();
+    const TimePoint now = Clock::now();
     if (caller.taken == 0 && now - put_at > 300ms)
       put_at = now, caller.put(configuration(version, wanted));
     turn(now);
   }
   if (caller.taken == 0 || !registry.is_running() || !broker.is_running())
     return {};
-  for (const Moment until = Clock::now() + 3s; Clock::now() < until;)
+  for (const TimePoint until = Clock::now() + 3s; Clock::now() < until;)
     turn(Clock::now());
   const Usage registry_before = registry.usage(), broker_before = broker.usage();
-  const std::uint64_t sent = hollows.sent, sent_bytes = hollows.sent_bytes, heard = hollows.heard,
-                      heard_bytes = hollows.heard_bytes, probes = platform.probes;
-  const Moment began = Clock::now();
-  Moment change_due = began, replace_due = began;
+  const std::uint64_t sent = hollows.sent, sent_bytes = hollows.sent_bytes,
+                      last_contact = hollows.last_contact, received_bytes = hollows.received_bytes,
+                      probes = platform.probes;
+  const TimePoint began = Clock::now();
+  TimePoint change_due = began, replace_due = began;
   std::vector<double> spreads;  // how long until all hold a change
-  Moment changed{};
+  TimePoint changed{};
   while (Clock::now() <
          began + std::chrono::milliseconds(static_cast<std::int64_t>(wanted.seconds * 1000))) {
-    const Moment now = Clock::now();
+    const TimePoint now = Clock::now();
     if (wanted.changes_per_s > 0 && now >= change_due && !caller.is_waiting) {
       change_due =
           now + std::chrono::microseconds(static_cast<std::int64_t>(1e6 / wanted.changes_per_s));
@@ -417,7 +418,7 @@
       ++platform.replaced;
     }
     turn(now);
-    if (changed != Moment{} &&
+    if (changed != TimePoint{} &&
         hollows.holding(Version{version}) == static_cast<std::size_t>(wanted.brokers)) {
       spreads.push_back(std::chrono::duration<double, std::milli>(Clock::now() - changed).count());
       changed = {};
@@ -439,11 +440,12 @@
   result["broker_cores"] = (broker_after.processor_s - broker_before.processor_s) / span;
   result["broker_mb"] = broker_after.memory_mb;
   result["bytes_out_per_broker_s"] =
-      static_cast<double>(hollows.heard_bytes - heard_bytes) / span / wanted.brokers;
+      static_cast<double>(hollows.received_bytes - received_bytes) / span / wanted.brokers;
   result["bytes_in_per_broker_s"] =
       static_cast<double>(hollows.sent_bytes - sent_bytes) / span / wanted.brokers;
   result["frames_per_broker_s"] =
-      static_cast<double>(hollows.heard - heard + hollows.sent - sent) / span / wanted.brokers;
+      static_cast<double>(hollows.last_contact - last_contact + hollows.sent - sent) / span /
+      wanted.brokers;
   result["probes_per_s"] = static_cast<double>(platform.probes - probes) / span;
   result["held_by_all_ms"] =
       spreads.empty() ? Json::Value() : Json::Value(spreads[spreads.size() / 2]);
--- a/tools/model.cpp
+++ b/tools/model.cpp
@@ -19,7 +19,7 @@
   Ranges ranges;
   std::uint64_t seed = 1, walks = 1000;
   int threads = 1, shrink = 2000;
-  std::chrono::steady_clock::duration most = std::chrono::hours(24 * 365);
+  std::chrono::steady_clock::duration limit = std::chrono::hours(24 * 365);
   std::string trace, replay, planted;
 };
 
@@ -44,14 +44,14 @@
 };
 
 Outcome walk_all(const Wanted& wanted, bool should_stop) {
-  std::atomic<std::uint64_t> next = 0, most = wanted.walks;
-  const auto end = std::chrono::steady_clock::now() + wanted.most;
+  std::atomic<std::uint64_t> next = 0, limit = wanted.walks;
+  const auto end = std::chrono::steady_clock::now() + wanted.limit;
   Outcome outcome;
   std::mutex guard;
   const auto work = [&] {
     Tally tally;
     for (std::uint64_t number;
-         (number = next++) < most && std::chrono::steady_clock::now() < end;) {
+         (number = next++) < limit && std::chrono::steady_clock::now() < end;) {
       const std::uint64_t seed = wanted.seed + number;
       Walk walk = draw_walk(seed, wanted.ranges);
       const auto found = run_walk(walk, tally, nullptr);
@@ -72,8 +72,8 @@
       if (!outcome.seed || seed < *outcome.seed)
         outcome.seed = seed, outcome.violation = *found;
       if (should_stop)
-        most = std::min<std::uint64_t>(
-            most, number);  // lower ones go on, so that the verdict is the same each time
+        limit = std::min<std::uint64_t>(
+            limit, number);  // lower ones go on, so that the verdict is the same each time
     }
     const std::lock_guard lock(guard);
     outcome.tally.add(tally);
@@ -149,7 +149,7 @@
     return 1;
   }
   std::printf(
-      explored.is_whole
+      explored.is_complete
           ? "all within the bounds, nothing broken\n"
           : "not all within the bounds: stopped at the most states; nothing broken in these\n");
   return 0;
@@ -202,7 +202,7 @@
       "for", "at most so long, as 90s, 30m, 2h; alone: walks without end", cxxopts::value(span))(
       "members", "founders, 1 to 9; 0: 3 to 7 by the seed",
       cxxopts::value(members)->default_value("0"))(
-      "brokers", "most brokers", cxxopts::value(wanted.ranges.most_brokers)->default_value("4"))(
+      "brokers", "most brokers", cxxopts::value(wanted.ranges.max_brokers)->default_value("4"))(
       "seconds", "simulated length of a walk",
       cxxopts::value(wanted.ranges.seconds)->default_value("60"))(
       "threads", "walks at a time", cxxopts::value(wanted.threads)->default_value("1"))(
@@ -225,7 +225,7 @@
       "orders", "explored: orders", cxxopts::value(bounds.orders)->default_value("2"))(
       "reads", "explored: reads", cxxopts::value(bounds.reads)->default_value("1"))(
       "states", "explored: most states",
-      cxxopts::value(bounds.most_states)->default_value("5000000"))("h,help", "print this help");
+      cxxopts::value(bounds.max_states)->default_value("5000000"))("h,help", "print this help");
   try {
     const auto parsed = options.parse(count, words);
     if (parsed.count("help")) {
@@ -240,11 +240,11 @@
   } catch (const cxxopts::exceptions::exception& thrown) {
     return complain(thrown.what());
   }
-  if (!span.empty() && !read_span(span, wanted.most))
+  if (!span.empty() && !read_span(span, wanted.limit))
     return complain("--for wants a span as 90s, 30m or 2h");
   if (members < 0 || members > 9)
     return complain("--members is out of 0 to 9");
-  if (wanted.ranges.most_brokers < 0 || wanted.ranges.most_brokers > 100)
+  if (wanted.ranges.max_brokers < 0 || wanted.ranges.max_brokers > 100)
     return complain("--brokers is out of 0 to 100");
   if (wanted.ranges.seconds < 10 || wanted.ranges.seconds > 86400)
     return complain("--seconds is out of 10 to 86400");
@@ -253,7 +253,7 @@
   if (wanted.walks < 1 || wanted.shrink < 0)
     return complain("--walks and --shrink want a number above");
   if (members)
-    wanted.ranges.least_members = wanted.ranges.most_members = members;
+    wanted.ranges.min_members = wanted.ranges.max_members = members;
   if (!wanted.replay.empty())
     return replay(wanted.replay);
   if (wanted.planted == "all" && !is_exploring)
@@ -275,7 +275,7 @@
                             bounds.doublings, bounds.orders, bounds.reads})
       if (bound < 0 || bound > 20)
         return complain("a bound of what is explored is out of 0 to 20");
-    if (bounds.most_states < 1)
+    if (bounds.max_states < 1)
       return complain("--states wants a number above");
     if (!can_explore(wanted.ranges.planted) && wanted.ranges.planted != Planted::none)
       return complain("this fault is planted in walks alone");
--- a/tools/model_checks.cpp
+++ b/tools/model_checks.cpp
@@ -19,8 +19,8 @@
     for (const Member& member : list)
       text += std::to_string(member.id.value) + "@" + member.address + ",";
   }
-  for (const auto& [name, sheet] : entry.sheets)
-    text += "|" + name + "=" + sheet;
+  for (const auto& [name, document] : entry.documents)
+    text += "|" + name + "=" + document;
   return XXH3_64bits(text.data(), text.size());
 }
 
@@ -76,12 +76,12 @@
   std::map<std::int64_t, std::uint64_t> reached;
   for (const Call& call : calls_)
     if (call.returned) {
-      const auto [place, is_new] = reached.try_emplace(call.version, call.returned);
-      place->second = std::min(place->second, call.returned);
+      const auto [position, is_new] = reached.try_emplace(call.version, call.returned);
+      position->second = std::min(position->second, call.returned);
     }
-  std::uint64_t least = never;
-  for (auto place = reached.rbegin(); place != reached.rend(); ++place)
-    place->second = least = std::min(least, place->second);
+  std::uint64_t minimum = never;
+  for (auto position = reached.rbegin(); position != reached.rend(); ++position)
+    position->second = minimum = std::min(minimum, position->second);
   std::map<std::int64_t, std::string> bodies;
   for (std::size_t number = 0; number < calls_.size(); ++number) {
     const Call& read = calls_[number];
@@ -119,11 +119,11 @@
     found_ = Violation{check, std::move(text), 0};
 }
 
-void Ledger::lead(Term term, MemberId id, std::uint64_t life) {
-  const auto [place, is_new] = leaders_.try_emplace(term.value, id.value, life);
-  if (place->second != std::pair(id.value, life))
+void Ledger::lead(Term term, MemberId id, std::uint64_t incarnation) {
+  const auto [position, is_new] = leaders_.try_emplace(term.value, id.value, incarnation);
+  if (position->second != std::pair(id.value, incarnation))
     fail("one leader a term", "term " + std::to_string(term.value) + " is led by " +
-                                  std::to_string(place->second.first) + " and by " +
+                                  std::to_string(position->second.first) + " and by " +
                                   std::to_string(id.value));
 }
 
@@ -142,19 +142,19 @@
 
 void Ledger::commit(const Entry& entry) {
   const Committed seen{entry.term, entry.version, digest_of(entry), lists_of(entry)};
-  const auto [place, is_new] = entries_.try_emplace(entry.index.value, seen);
+  const auto [position, is_new] = entries_.try_emplace(entry.index.value, seen);
   if (!is_new) {
-    if (place->second.term != seen.term || place->second.digest != seen.digest)
+    if (position->second.term != seen.term || position->second.digest != seen.digest)
       fail("committed stays", "entry " + std::to_string(entry.index.value) +
                                   " was committed twice, in terms " +
-                                  std::to_string(place->second.term.value) + " and " +
+                                  std::to_string(position->second.term.value) + " and " +
                                   std::to_string(seen.term.value));
     return;
   }
-  if (place != entries_.begin())
-    compare(place->first, std::prev(place)->second, place->second);
-  if (const auto next = std::next(place); next != entries_.end())
-    compare(next->first, place->second, next->second);
+  if (position != entries_.begin())
+    compare(position->first, std::prev(position)->second, position->second);
+  if (const auto next = std::next(position); next != entries_.end())
+    compare(next->first, position->second, next->second);
   if (entry.version.value) {
     const auto [body, is_first] = bodies_.try_emplace(entry.version.value, entry.body);
     if (body->second != entry.body)
--- a/tools/model_checks.h
+++ b/tools/model_checks.h
@@ -44,7 +44,7 @@
 // What the nodes of the core did, over all their lives.
 class Ledger {
  public:
-  void lead(Term term, MemberId id, std::uint64_t life);
+  void lead(Term term, MemberId id, std::uint64_t incarnation);
   void commit(const Entry& entry);
   void force(Version version);  // somebody serves by it, or says it is in force
   void acknowledge(Version version);
@@ -86,9 +86,9 @@
 template <class E>
 std::vector<std::vector<Member>> lists_of(const E& entry) {
   std::vector<std::vector<Member>> lists{entry.members};
-  if constexpr (requires { entry.former; })
-    if (!entry.former.empty())
-      lists.push_back(entry.former);
+  if constexpr (requires { entry.outgoing; })
+    if (!entry.outgoing.empty())
+      lists.push_back(entry.outgoing);
   return lists;
 }
 
--- a/tools/model_explore.cpp
+++ b/tools/model_explore.cpp
@@ -26,21 +26,21 @@
 }
 
 struct Node {
-  std::unique_ptr<Agreement> agreement;
-  Durable disk, disk_before;
-  std::optional<Agreement::Save> pending;
-  Moment now = Moment{} + 1000s;
-  std::uint64_t life = 0, digest = 0;
+  std::unique_ptr<RaftNode> raft;
+  PersistentState disk, disk_before;
+  std::optional<RaftNode::Save> pending;
+  TimePoint now = TimePoint{} + 1000s;
+  std::uint64_t incarnation = 0, digest = 0;
   EntrySnapshot noted;
 
   Node() = default;
   Node(const Node& other)
-      : agreement(std::make_unique<Agreement>(*other.agreement)),
+      : raft(std::make_unique<RaftNode>(*other.raft)),
         disk(other.disk),
         disk_before(other.disk_before),
         pending(other.pending),
         now(other.now),
-        life(other.life),
+        incarnation(other.incarnation),
         digest(other.digest),
         noted(other.noted) {
   }
@@ -62,8 +62,8 @@
 
 constexpr std::uint64_t sampled = 16;  // one merged state in so many is looked at again
 
-constexpr Span far{2200}, near{151};  // of a clock that runs on; the longest wait is 2,100 ms,
-                                      // after a transfer of the lead
+constexpr Duration far{2200}, near{151};  // of a clock that runs on; the longest wait is 2,100 ms,
+                                          // after a transfer of the lead
 
 struct Seen {
   std::size_t operator()(std::uint64_t digest) const {
@@ -94,7 +94,7 @@
         end_save(state, number, node);
       state.nodes[number] = std::make_shared<Node>(node);
     }
-    explored_.is_whole = visit(state);
+    explored_.is_complete = exchange(state);
     explored_.states = seen_.size();
     return std::move(explored_);
   }
@@ -103,7 +103,7 @@
   using Change = std::function<void(State&)>;
 
   // False: it was broken off.
-  bool visit(const State& state) {
+  bool exchange(const State& state) {
     if (state.ledger.found()) {
       explored_.found = state.ledger.found();
       explored_.path = path_;
@@ -113,7 +113,7 @@
     if (!seen_.insert(digest).second)
       return compare(state, digest);
     explored_.depth = std::max(explored_.depth, path_.size());
-    if (seen_.size() >= bounds_.most_states)
+    if (seen_.size() >= bounds_.max_states)
       return false;
     std::uint64_t followers = 0;
     const auto follow = [&](std::string text, const Change& change) {
@@ -122,9 +122,9 @@
       change(next);
       followers += digest_of(next);
       path_.push_back(std::move(text));
-      const bool is_whole = visit(next);
+      const bool is_complete = exchange(next);
       path_.pop_back();
-      return is_whole;
+      return is_complete;
     };
     if (!visit_moves(state, follow))
       return false;
@@ -163,8 +163,8 @@
         return false;
     std::unordered_set<std::uint64_t> tried;
     std::set<std::pair<std::size_t, std::size_t>> links;
-    for (std::size_t place = 0; place < state.letters.size(); ++place) {
-      const Letter& letter = state.letters[place];
+    for (std::size_t position = 0; position < state.letters.size(); ++position) {
+      const Letter& letter = state.letters[position];
       const bool is_first = links.emplace(letter.from, letter.to).second;
       if (!is_first && (state.overtakings >= bounds_.overtakings ||
                         !tried.insert(mix(letter.digest, letter.to)).second))
@@ -180,14 +180,14 @@
         Node node = *next.nodes[letter.to];
         RaftMessage copy = message;
         if (bounds_.planted == Planted::lower_term_obeyed &&
-            copy.type == RaftMessage::Type::append && copy.term < node.agreement->term())
-          obey_lower_term(copy, node.agreement->term());
-        node.agreement->receive(copy, node.now);
+            copy.type == RaftMessage::Type::append && copy.term < node.raft->term())
+          obey_lower_term(copy, node.raft->term());
+        node.raft->receive(copy, node.now);
         settle(next, letter.to, node);
       };
       if (!follow(text, [&](State& next) {
             next.overtakings += !is_first;
-            next.letters.erase(next.letters.begin() + static_cast<std::ptrdiff_t>(place));
+            next.letters.erase(next.letters.begin() + static_cast<std::ptrdiff_t>(position));
             deliver(next);
           }))
         return false;
@@ -222,8 +222,8 @@
       return false;
     // Far: whatever was drawn is over, and a leader that heard nobody steps down. Near, for a
     // leader: its beat.
-    for (const Span span : {far, near}) {
-      if (state.timeouts >= bounds_.timeouts || (span == near && !present.agreement->is_leader()))
+    for (const Duration span : {far, near}) {
+      if (state.timeouts >= bounds_.timeouts || (span == near && !present.raft->is_leader()))
         continue;
       if (!follow("clock of " + name + (span == far ? " runs on far" : " runs on to its beat"),
                   [&](State& next) {
@@ -241,19 +241,19 @@
                     ++next.crashes;
                     Node node = *next.nodes[number];
                     if (is_kept)
-                      node.disk = node.pending->durable;
+                      node.disk = node.pending->persistent;
                     else if (bounds_.planted == Planted::folder_sync_left_out)
                       node.disk = node.disk_before;
                     start(next, number, node);
                   }))
         return false;
-    if (!present.agreement->is_leader())
+    if (!present.raft->is_leader())
       return true;
     if (state.orders < bounds_.orders && !follow(name + " is given an order", [&](State& next) {
           const std::int64_t version = ++next.orders;
           Node node = *next.nodes[number];
           const std::size_t call = next.history.start(false, version);
-          node.agreement->propose(Version{version}, std::to_string(call), call + 1, node.now);
+          node.raft->propose(Version{version}, std::to_string(call), call + 1, node.now);
           settle(next, number, node);
         }))
       return false;
@@ -261,22 +261,22 @@
              ++next.reads;
              Node node = *next.nodes[number];
              const std::size_t call = next.history.start(true, 0);
-             const EntrySnapshot& committed = node.agreement->committed();
+             const EntrySnapshot& committed = node.raft->committed();
              if (bounds_.planted == Planted::read_without_majority && committed) {
                next.history.finish_read(call, committed->version.value, committed->body);
                check(next);
              } else {
-               node.agreement->confirm_read(call + 1, node.now);
+               node.raft->read_index(call + 1, node.now);
              }
              settle(next, number, node);
            });
   }
 
   void start(State& state, std::size_t number, Node& node) {
-    ++node.life;
+    ++node.incarnation;
     node.pending.reset();
     node.noted = nullptr;
-    if (node.life > 1) {
+    if (node.incarnation > 1) {
       if (bounds_.planted == Planted::vote_forgotten)
         node.disk.vote = {};
       if (bounds_.planted == Planted::wiped_under_old_id)
@@ -288,32 +288,32 @@
       }
     }
     node.disk_before = node.disk;
-    AgreementOptions options;
+    RaftOptions options;
     options.address = addresses_[number];
-    options.draw = number * 100 + node.life;
-    node.agreement = std::make_unique<Agreement>(node.disk, options, addresses_, node.now);
+    options.draw = number * 100 + node.incarnation;
+    node.raft = std::make_unique<RaftNode>(node.disk, options, addresses_, node.now);
     settle(state, number, node);
   }
 
   void end_save(State& state, std::size_t number, Node& node) {
     const std::uint64_t serial = node.pending->serial;
     node.disk_before = node.disk;
-    node.disk = node.pending->durable;
+    node.disk = node.pending->persistent;
     node.pending.reset();
     if (bounds_.planted != Planted::answer_before_sync)
-      node.agreement->finish_save(serial, true, node.now);
+      node.raft->finish_save(serial, true, node.now);
     settle(state, number, node);
   }
 
   // What the core's loop does after each event, and what comes of it.
   void settle(State& state, std::size_t number, Node& node) {
-    node.agreement->tick(node.now);
+    node.raft->tick(node.now);
     for (bool is_early = true; is_early;) {
       is_early = false;
-      Agreement::Output output = node.agreement->take(node.now);
-      const EntrySnapshot& committed = node.agreement->committed();
-      if (node.agreement->is_leader())
-        state.ledger.lead(node.agreement->term(), node.agreement->self(), node.life);
+      RaftNode::Output output = node.raft->take(node.now);
+      const EntrySnapshot& committed = node.raft->committed();
+      if (node.raft->is_leader())
+        state.ledger.lead(node.raft->term(), node.raft->self(), node.incarnation);
       if (committed && committed != node.noted) {
         if (node.noted && std::pair(committed->term, committed->index) <
                               std::pair(node.noted->term, node.noted->index))
@@ -321,7 +321,7 @@
         state.ledger.commit(*committed);
         node.noted = committed;
       }
-      for (Agreement::Outgoing& outgoing : output.messages) {
+      for (RaftNode::Outgoing& outgoing : output.messages) {
         const auto to = std::find(addresses_.begin(), addresses_.end(), outgoing.to);
         if (to == addresses_.end())
           continue;
@@ -330,8 +330,8 @@
         state.letters.push_back({number, static_cast<std::size_t>(to - addresses_.begin()), digest,
                                  std::make_shared<RaftMessage>(std::move(outgoing.message))});
       }
-      for (const Agreement::Result& result : output.results) {
-        if (result.verdict != Agreement::Verdict::done)
+      for (const RaftNode::Result& result : output.results) {
+        if (result.verdict != RaftNode::Verdict::done)
           continue;
         const std::size_t call = result.token - 1;
         if (result.state) {
@@ -347,13 +347,13 @@
       node.pending = std::move(output.save);
       if (bounds_.planted != Planted::answer_before_sync)
         continue;
-      node.agreement->finish_save(node.pending->serial, true, node.now);
+      node.raft->finish_save(node.pending->serial, true, node.now);
       is_early = true;
     }
-    node.digest = mix(AgreementProbe::look(*node.agreement, node.now), node.life);
-    node.digest = mix(node.digest, encode_durable(node.disk));
+    node.digest = mix(RaftNodeProbe::look(*node.raft, node.now), node.incarnation);
+    node.digest = mix(node.digest, encode_persistent_state(node.disk));
     if (bounds_.planted != Planted::none)
-      node.digest = mix(node.digest, encode_durable(node.disk_before));
+      node.digest = mix(node.digest, encode_persistent_state(node.disk_before));
     node.digest = mix(node.digest, node.pending ? node.pending->serial + 1 : 0);
     state.nodes[number] = std::make_shared<Node>(node);
   }
--- a/tools/model_explore.h
+++ b/tools/model_explore.h
@@ -19,7 +19,7 @@
   int breaks = 0;       // of a link, by which all that is on it is lost
   int doublings = 0;    // messages that come twice
   int orders = 2, reads = 1;
-  std::uint64_t most_states = 5'000'000;
+  std::uint64_t max_states = 5'000'000;
   Planted planted = Planted::none;
 };
 
@@ -27,8 +27,8 @@
   std::uint64_t states = 0, moves = 0;
   std::size_t depth = 0;
   std::uint64_t compared =
-      0;                  // merged states of the sample, all of whose next states were compared
-  bool is_whole = false;  // all within the bounds were seen
+      0;                     // merged states of the sample, all of whose next states were compared
+  bool is_complete = false;  // all within the bounds were seen
   std::optional<Violation> found;
   std::vector<std::string> path;  // to it
 };
