--- a/tools/model_nodes.cpp
+++ b/tools/model_nodes.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-constexpr Span call_wait{2000};
-constexpr Span rollout_wait{400}, grant_valid{2000}, grant_window{3000}, table_hold{3000};
-constexpr Span settle_margin{100};
+constexpr Duration call_wait{2000};
+constexpr Duration rollout_wait{400}, grant_valid{2000}, grant_window{3000}, table_lease{3000};
+constexpr Duration settle_margin{100};
 constexpr int reserve = 100;
-constexpr Micros most_wait = 100'000, least_wait = 200;
+constexpr Micros max_wait = 100'000, min_wait = 200;
 
 const char* name_of(RaftMessage::Type type) {
   static constexpr const char* names[] = {"pre-vote", "pre-voted", "vote",     "voted",
                                           "append",   "appended",  "transfer", "join",
                                           "joined",   "leave",     "left"};
-  const auto place = static_cast<std::size_t>(type);
-  return place < std::size(names) ? names[place] : "?";
+  const auto position = static_cast<std::size_t>(type);
+  return position < std::size(names) ? names[position] : "?";
 }
 
 std::string show(Term term, Index index) {
@@ -28,9 +28,9 @@
 
 // Later forms of the agreement know when they may end.
 template <class A>
-bool has_left(const A& agreement) {
-  if constexpr (requires { agreement.has_left(); })
-    return agreement.has_left();
+bool has_left(const A& raft) {
+  if constexpr (requires { raft.has_left(); })
+    return raft.has_left();
   return false;
 }
 
@@ -57,7 +57,7 @@
   node.is_up = true;
   node.is_frozen = false;
   node.held.clear();
-  node.life = ++lives_;
+  node.incarnation = ++incarnations_;
   const int drift =
       setup.drift ? static_cast<int>(draw(2) % static_cast<std::uint64_t>(2 * setup.drift + 1)) -
                         setup.drift
@@ -79,20 +79,20 @@
     }
   }
   node.has_before = false;
-  AgreementOptions options;
+  RaftOptions options;
   options.address = node.address;
   options.voters = static_cast<std::uint32_t>(setup.can_lose()) * 2 + 1;
   options.draw = draw(4);
-  options.silent = silent_span(Span(setup.catch_up / 1000), options.election);
-  const Moment now = local(node);
-  const Span election = options.election;
-  node.agreement = std::make_unique<Agreement>(node.disk, options, contacts(), now);
-  node.rollout = std::make_unique<Rollout>(rollout_wait);
-  node.grants = std::make_unique<Grants>(reserve, grant_valid, grant_window);
-  node.holders =
-      std::make_unique<Holders>(table_hold, setup.planted == Planted::lease_without_settling
-                                                ? Span(0)
-                                                : table_hold + election + settle_margin);
+  options.silent = replacement_timeout(Duration(setup.catch_up / 1000), options.election);
+  const TimePoint now = local(node);
+  const Duration election = options.election;
+  node.raft = std::make_unique<RaftNode>(node.disk, options, contacts(), now);
+  node.rollout = std::make_unique<VersionRollout>(rollout_wait);
+  node.grants = std::make_unique<RetryQuotaAllocator>(reserve, grant_valid, grant_window);
+  node.leases =
+      std::make_unique<LeaseTable>(table_lease, setup.planted == Planted::lease_without_settling
+                                                    ? Duration(0)
+                                                    : table_lease + election + settle_margin);
   node.pending.reset();
   node.wake_at = -1;
   node.calls.clear();
@@ -100,13 +100,13 @@
   node.noted = nullptr;
   node.rows.clear();
   node.is_holding = node.is_marking = false;
-  node.mark = 0;
+  node.revision = 0;
   say("registry " + std::to_string(node.number) + " starts as member " +
       std::to_string(node.disk.self.value) + ", holds " +
       show(node.disk.entry->term, node.disk.entry->index) + " in term " +
       std::to_string(node.disk.term.value));
-  push(now_ + least_wait, Event::Kind::wake, 0, node.number, node.life, {});
-  node.wake_at = now_ + least_wait;
+  push(now_ + min_wait, Event::Kind::wake, 0, node.number, node.incarnation, {});
+  node.wake_at = now_ + min_wait;
 }
 
 void World::stop_node(Node& node, bool is_power) {
@@ -114,13 +114,13 @@
     return;
   // What was on its way to the disk got there or not.
   if (node.pending && node.mode != DiskMode::failing && draw(5) % 2)
-    node.disk = node.pending->durable;
+    node.disk = node.pending->persistent;
   else if (is_power && node.has_before && draw(6) % 2)
     node.disk = node.disk_before;
   node.is_up = node.is_frozen = false;
   node.held.clear();
   node.pending.reset();
-  node.agreement.reset();
+  node.raft.reset();
   say("registry " + std::to_string(node.number) + " is down, its disk holds " +
       show(node.disk.entry->term, node.disk.entry->index) + " in term " +
       std::to_string(node.disk.term.value));
@@ -131,9 +131,9 @@
   node.has_disk = false;
 }
 
-void World::begin_save(Node& node, Agreement::Save save) {
+void World::begin_save(Node& node, RaftNode::Save save) {
   const std::uint64_t serial = save.serial;
-  plant_in_entry(node, save.durable);
+  plant_in_entry(node, save.persistent);
   node.pending = std::move(save);
   Micros span = 1'000 + static_cast<Micros>(draw(7) % 10'000);
   if (node.mode == DiskMode::slow)
@@ -141,10 +141,10 @@
   if (walk_.setup.planted == Planted::answer_before_sync)
     span += 300'000;
   if (node.mode != DiskMode::stalled || walk_.setup.planted == Planted::answer_before_sync)
-    push(now_ + span, Event::Kind::save, 0, node.number, node.life,
+    push(now_ + span, Event::Kind::save, 0, node.number, node.incarnation,
          FinishedSave{serial, node.mode != DiskMode::failing});
   if (walk_.setup.planted == Planted::answer_before_sync)
-    node.agreement->finish_save(serial, true, local(node));
+    node.raft->finish_save(serial, true, local(node));
 }
 
 void World::end_save(Node& node, std::uint64_t serial) {
@@ -153,9 +153,9 @@
     return;
   const bool is_saved = node.mode != DiskMode::failing;
   if (is_saved) {
-    const Durable& next = node.pending->durable;
-    const auto key = [](const Durable& durable) {
-      return std::pair(durable.entry->term, durable.entry->index);
+    const PersistentState& next = node.pending->persistent;
+    const auto key = [](const PersistentState& persistent) {
+      return std::pair(persistent.entry->term, persistent.entry->index);
     };
     if (next.self != node.disk.self || next.term < node.disk.term || key(next) < key(node.disk))
       fail("no node goes back",
@@ -167,62 +167,62 @@
       node.disk_before = node.disk;
       node.has_before = true;
     }
-    node.disk = node.pending->durable;
+    node.disk = node.pending->persistent;
   }
   node.pending.reset();
   if (walk_.setup.planted == Planted::answer_before_sync)
     return;
   if (node.is_frozen) {
-    node.held.push_back({now_, ++order_, Event::Kind::deliver, 0, node.number, node.life,
+    node.held.push_back({now_, ++order_, Event::Kind::deliver, 0, node.number, node.incarnation,
                          FinishedSave{serial, is_saved}});
     return;
   }
-  node.agreement->finish_save(serial, is_saved, local(node));
+  node.raft->finish_save(serial, is_saved, local(node));
   turn_node(node);
 }
 
 // A replacement in one step: the old list no longer counts.
-void World::plant_in_entry(Node& node, const Durable& durable) {
-  if (walk_.setup.planted != Planted::replacement_in_one_step || !node.agreement->is_leader())
+void World::plant_in_entry(Node& node, const PersistentState& persistent) {
+  if (walk_.setup.planted != Planted::replacement_in_one_step || !node.raft->is_leader())
     return;
   [&](auto& entry) {
-    if constexpr (requires { entry.former; })
-      entry.former.clear();
+    if constexpr (requires { entry.outgoing; })
+      entry.outgoing.clear();
     else if (entry.members.size() > entry.core_size)
       std::erase_if(entry.members, [&](const Member& member) {
-        return member.id != durable.self &&
-               &member == &entry.members[entry.members[0].id == durable.self];
+        return member.id != persistent.self &&
+               &member == &entry.members[entry.members[0].id == persistent.self];
       });
-  }(const_cast<Entry&>(*durable.entry));
+  }(const_cast<Entry&>(*persistent.entry));
 }
 
 void World::turn_node(Node& node) {
-  const Moment now = local(node);
-  node.agreement->tick(now);
+  const TimePoint now = local(node);
+  node.raft->tick(now);
   observe(node);
   route_calls(node);
   flush(node);
-  tend_tables(node);
-  node.grants->lead(node.agreement->is_leader() && node.agreement->is_confirmed(now),
+  update_tables(node);
+  node.grants->lead(node.raft->is_leader() && node.raft->is_confirmed(now),
                     walk_.setup.planted == Planted::grant_twice ? now - 100s : now);
-  tend_rollout(node);
+  advance_rollout(node);
   flush(node);
-  if (has_left(*node.agreement))
+  if (has_left(*node.raft))
     return stop_node(node, false);
   const Micros due =
-      std::clamp(global(node, node.agreement->next_due()) + 2, now_ + least_wait, now_ + most_wait);
+      std::clamp(global(node, node.raft->next_due()) + 2, now_ + min_wait, now_ + max_wait);
   if (node.wake_at >= 0 && node.wake_at <= due)
     return;
   node.wake_at = due;
-  push(due, Event::Kind::wake, 0, node.number, node.life, {});
+  push(due, Event::Kind::wake, 0, node.number, node.incarnation, {});
 }
 
 void World::flush(Node& node) {
   observe(node);  // what is answered is committed before
-  Agreement::Output output = node.agreement->take(local(node));
+  RaftNode::Output output = node.raft->take(local(node));
   if (output.save)
     begin_save(node, std::move(*output.save));
-  for (Agreement::Outgoing& outgoing : output.messages) {
+  for (RaftNode::Outgoing& outgoing : output.messages) {
     if (trace_)
       say("registry " + std::to_string(node.number) + " sends " + name_of(outgoing.message.type) +
           " to " + outgoing.to + ", term " + std::to_string(outgoing.message.term.value) +
@@ -231,11 +231,11 @@
     if (const auto number = numbers_.find(outgoing.to); number != numbers_.end())
       send(node.number, number->second, std::move(outgoing.message));
   }
-  for (const Agreement::Result& result : output.results) {
+  for (const RaftNode::Result& result : output.results) {
     const auto found = node.calls.find(result.token);
     if (found == node.calls.end())
       continue;
-    if (result.verdict == Agreement::Verdict::done)
+    if (result.verdict == RaftNode::Verdict::done)
       finish_call(node, result.token, true, result.state ? result.state->version : Version{},
                   result.state ? result.state->body : "");
     else
@@ -244,10 +244,10 @@
 }
 
 void World::observe(Node& node) {
-  const Agreement& agreement = *node.agreement;
-  if (agreement.is_leader())
-    ledger_.lead(agreement.term(), agreement.self(), node.life);
-  const EntrySnapshot& committed = agreement.committed();
+  const RaftNode& raft = *node.raft;
+  if (raft.is_leader())
+    ledger_.lead(raft.term(), raft.self(), node.incarnation);
+  const EntrySnapshot& committed = raft.committed();
   if (!committed || committed == node.noted)
     return;
   if (node.noted && std::tuple(committed->term, committed->index) <
@@ -260,7 +260,7 @@
                                   std::to_string(committed->version.value));
   ledger_.commit(*committed);
   if (trace_)
-    say("registry " + std::to_string(node.number) + (agreement.is_leader() ? " (leads) " : " ") +
+    say("registry " + std::to_string(node.number) + (raft.is_leader() ? " (leads) " : " ") +
         "holds " + show(committed->term, committed->index) + " committed, version " +
         std::to_string(committed->version.value) + ", " +
         std::to_string(committed->members.size()) + " members");
@@ -273,21 +273,22 @@
   if (RaftMessage* message = std::get_if<RaftMessage>(&content))
     return receive(node, from, *message);
   if (const FollowPacket* follow = std::get_if<FollowPacket>(&content))
-    return take_follow(node, *follow);
+    return handle_subscribe(node, *follow);
   if (const FinishedSave* save = std::get_if<FinishedSave>(&content))
-    return node.agreement->finish_save(save->serial, save->is_saved, local(node));
+    return node.raft->finish_save(save->serial, save->is_saved, local(node));
   if (const CallPacket* packet = std::get_if<CallPacket>(&content)) {
     node.calls[++node.last_token] = {0,
                                      packet->is_read,
                                      packet->version,
                                      packet->body,
                                      packet->origin,
-                                     packet->life,
+                                     packet->incarnation,
                                      packet->token,
                                      {},
                                      local(node) + call_wait};
   } else if (const AnswerPacket* answer = std::get_if<AnswerPacket>(&content)) {
-    if (answer->life != node.life && walk_.setup.planted != Planted::answer_of_old_life)
+    if (answer->incarnation != node.incarnation &&
+        walk_.setup.planted != Planted::reply_to_old_incarnation)
       return;
     const auto found = node.calls.find(answer->token);
     if (found == node.calls.end() || found->second.origin)
@@ -302,11 +303,11 @@
 void World::receive(Node& node, int from, RaftMessage& message) {
   const Planted planted = walk_.setup.planted;
   if (planted == Planted::lower_term_obeyed && message.type == RaftMessage::Type::append &&
-      message.term < node.agreement->term())
-    obey_lower_term(message, node.agreement->term());
+      message.term < node.raft->term())
+    obey_lower_term(message, node.raft->term());
   if (planted == Planted::learner_counted_early && message.type == RaftMessage::Type::appended &&
-      message.from.value > 1000 && node.agreement->is_leader() && node.agreement->committed()) {
-    const EntrySnapshot& last = node.pending ? node.pending->durable.entry : node.disk.entry;
+      message.from.value > 1000 && node.raft->is_leader() && node.raft->committed()) {
+    const EntrySnapshot& last = node.pending ? node.pending->persistent.entry : node.disk.entry;
     message.is_granted = true;
     message.entry_term = last->term;
     message.entry_index = last->index;
@@ -314,7 +315,7 @@
   if (trace_)
     say("registry " + std::to_string(node.number) + " takes " + name_of(message.type) + " of " +
         std::to_string(from) + ", term " + std::to_string(message.term.value));
-  node.agreement->receive(message, local(node));
+  node.raft->receive(message, local(node));
 }
 
 void World::begin_call(Node& node, bool is_read, std::int64_t version) {
@@ -327,10 +328,10 @@
 }
 
 void World::route_calls(Node& node) {
-  const Moment now = local(node);
+  const TimePoint now = local(node);
   std::vector<std::uint64_t> ended, settled;
-  const EntrySnapshot& committed = node.agreement->committed();
-  const std::string& leader = node.agreement->leader_address();
+  const EntrySnapshot& committed = node.raft->committed();
+  const std::string& leader = node.raft->leader_address();
   for (auto& [token, call] : node.calls) {
     if (!call.is_read && committed && committed->version >= call.version)
       settled.push_back(token);
@@ -340,19 +341,20 @@
       call.sent_to.clear();
     if (!call.sent_to.empty() || now > call.deadline)
       continue;
-    if (node.agreement->is_leader()) {
+    if (node.raft->is_leader()) {
       call.sent_to = node.address;
       if (call.is_read && walk_.setup.planted == Planted::read_without_majority && committed)
         settled.push_back(token);
       else if (call.is_read)
-        node.agreement->confirm_read(token, now);
+        node.raft->read_index(token, now);
       else
-        node.agreement->propose(call.version, call.body, token, now);
+        node.raft->propose(call.version, call.body, token, now);
     } else if (!leader.empty() && !call.origin) {
       call.sent_to = leader;
       if (const auto number = numbers_.find(leader); number != numbers_.end())
         send(node.number, number->second,
-             CallPacket{node.number, node.life, token, call.is_read, call.version, call.body});
+             CallPacket{node.number, node.incarnation, token, call.is_read, call.version,
+                        call.body});
     } else if (call.origin) {
       ended.push_back(token);
     }
@@ -372,7 +374,7 @@
   node.calls.erase(found);
   if (call.origin)
     return send(node.number, call.origin,
-                AnswerPacket{call.origin_life, call.origin_token, is_done, version, body});
+                AnswerPacket{call.origin_incarnation, call.origin_token, is_done, version, body});
   if (!is_done)
     return;  // unknown
   say("registry " + std::to_string(node.number) +
--- a/tools/model_probe.h
+++ b/tools/model_probe.h
@@ -13,8 +13,8 @@
 
 namespace saddlewing {
 
-struct AgreementProbe {
-  Moment now;
+struct RaftNodeProbe {
+  TimePoint now;
   std::uint64_t digest = 0;
 
   void add(std::uint64_t value) {
@@ -23,8 +23,8 @@
   void add(const std::string& text) {
     digest = XXH3_64bits_withSeed(text.data(), text.size(), digest + 1);
   }
-  void add(Moment moment) {
-    add(moment == Moment{} ? ~0ull : static_cast<std::uint64_t>((now - moment).count()));
+  void add(TimePoint moment) {
+    add(moment == TimePoint{} ? ~0ull : static_cast<std::uint64_t>((now - moment).count()));
   }
   template <class Tag, class T>
   void add(const Strong<Tag, T>& strong) {
@@ -42,10 +42,10 @@
   void add(const EntrySnapshot& entry) {
     if (!entry)
       return add(std::uint64_t{0});
-    add(encode_durable(Durable{{}, {}, {}, entry}));
+    add(encode_persistent_state(PersistentState{{}, {}, {}, entry}));
   }
-  void add(const Durable& durable) {
-    add(encode_durable(durable));
+  void add(const PersistentState& persistent) {
+    add(encode_persistent_state(persistent));
   }
   void add(const RaftMessage& message) {
     add(encode(FrameHead{FrameKind::raft, {}, {}}, message));
@@ -70,7 +70,7 @@
   template <class P>
   void add_peer(const P& peer) {
     SADDLEWING_ADD(peer, address);
-    SADDLEWING_ADD(peer, heard);
+    SADDLEWING_ADD(peer, last_contact);
     SADDLEWING_ADD(peer, matched);
     SADDLEWING_ADD(peer, is_matched);
     SADDLEWING_ADD(peer, held_term);
@@ -91,7 +91,7 @@
   }
   template <class A>
   void add_agreement(const A& from) {
-    SADDLEWING_ADD(from, durable_);
+    SADDLEWING_ADD(from, persistent_);
     SADDLEWING_ADD(from, serial_);
     SADDLEWING_ADD(from, saved_);
     SADDLEWING_ADD(from, entry_serial_);
@@ -101,9 +101,9 @@
     add(static_cast<std::uint64_t>(from.role_));
     SADDLEWING_ADD(from, leader_id_);
     SADDLEWING_ADD(from, leader_);
-    SADDLEWING_ADD(from, heard_leader_);
-    SADDLEWING_ADD(from, heard_confirmed_);
-    SADDLEWING_ADD(from, beat_due_);
+    SADDLEWING_ADD(from, last_leader_contact_);
+    SADDLEWING_ADD(from, last_confirmed_contact_);
+    SADDLEWING_ADD(from, heartbeat_due_);
     SADDLEWING_ADD(from, is_removed_);
     add_map(from.votes_);
     for (const auto& [id, peer] : from.peers_)
@@ -113,7 +113,7 @@
     SADDLEWING_ADD(from, is_under_way_);
     add_all(from.attached_);
     for (const auto& waiting : from.waiting_)
-      add(waiting.version), add(waiting.body), add(waiting.token), add(waiting.sheet),
+      add(waiting.version), add(waiting.body), add(waiting.token), add(waiting.document),
           add(waiting.text);
     for (const auto& read : from.reads_)
       add(read.token), add(read.round);
@@ -129,9 +129,9 @@
   }
 #undef SADDLEWING_ADD
 
-  static std::uint64_t look(const Agreement& agreement, Moment now) {
-    AgreementProbe probe{now};
-    probe.add_agreement(agreement);
+  static std::uint64_t look(const RaftNode& raft, TimePoint now) {
+    RaftNodeProbe probe{now};
+    probe.add_agreement(raft);
     return probe.digest;
   }
 };
--- a/tools/model_trace.cpp
+++ b/tools/model_trace.cpp
@@ -15,18 +15,18 @@
 
 struct Number {
   const char* name;
-  std::int64_t least, most;
+  std::int64_t minimum, limit;
   std::int64_t (*get)(const Setup&);
   void (*set)(Setup&, std::int64_t);
 };
 
-#define SADDLEWING_NUMBER(part, least, most)                     \
-  {                                                              \
-#part, least, most, [](const Setup& setup) -> std::int64_t { \
-      return setup.part;                                         \
-    }, [](Setup & setup, std::int64_t value) {                   \
-      setup.part = static_cast<decltype(Setup::part)>(value);    \
-    }                                                            \
+#define SADDLEWING_NUMBER(part, minimum, limit)                     \
+  {                                                                 \
+#part, minimum, limit, [](const Setup& setup) -> std::int64_t { \
+      return setup.part;                                            \
+    }, [](Setup & setup, std::int64_t value) {                      \
+      setup.part = static_cast<decltype(Setup::part)>(value);       \
+    }                                                               \
   }
 constexpr Number numbers[] = {SADDLEWING_NUMBER(members, 1, 9),
                               SADDLEWING_NUMBER(spares, 0, 9),
@@ -42,9 +42,9 @@
                               SADDLEWING_NUMBER(is_beyond, 0, 1)};
 #undef SADDLEWING_NUMBER
 
-bool read_number(const Json::Value& value, std::int64_t least, std::int64_t most,
+bool read_number(const Json::Value& value, std::int64_t minimum, std::int64_t limit,
                  std::int64_t& number) {
-  if (!value.isInt64() || value.asInt64() < least || value.asInt64() > most)
+  if (!value.isInt64() || value.asInt64() < minimum || value.asInt64() > limit)
     return false;
   number = value.asInt64();
   return true;
@@ -109,7 +109,7 @@
   walk.setup.planted = *planted;
   for (const Number& number : numbers) {
     std::int64_t value = 0;
-    if (!read_number(setup[number.name], number.least, number.most, value))
+    if (!read_number(setup[number.name], number.minimum, number.limit, value))
       return path + ": setup." + number.name + " is out of range";
     number.set(walk.setup, value);
   }
--- a/tools/model_walk.cpp
+++ b/tools/model_walk.cpp
@@ -55,10 +55,10 @@
 
 template <class Enum, std::size_t size>
 std::optional<Enum> find_name(const char* const (&names)[size], const std::string& name) {
-  const auto place = std::find(std::begin(names), std::end(names), name);
-  if (place == std::end(names))
+  const auto position = std::find(std::begin(names), std::end(names), name);
+  if (position == std::end(names))
     return std::nullopt;
-  return static_cast<Enum>(place - std::begin(names));
+  return static_cast<Enum>(position - std::begin(names));
 }
 
 class Drawer {
@@ -68,9 +68,9 @@
   }
   Walk draw() {
     Setup& setup = walk_.setup;
-    setup.members = static_cast<int>(between(ranges_.least_members, ranges_.most_members));
+    setup.members = static_cast<int>(between(ranges_.min_members, ranges_.max_members));
     setup.spares = static_cast<int>(between(0, 1));
-    setup.brokers = static_cast<int>(between(0, ranges_.most_brokers));
+    setup.brokers = static_cast<int>(between(0, ranges_.max_brokers));
     setup.length = ranges_.seconds * 1'000'000ll;
     setup.catch_up = between(4, 8) * 1'000'000;
     setup.loss = static_cast<int>(chance(2) ? between(0, 30) : 0);
@@ -100,16 +100,16 @@
   }
 
  private:
-  std::int64_t between(std::int64_t least, std::int64_t most) {
-    return std::uniform_int_distribution<std::int64_t>(least, most)(random_);
+  std::int64_t between(std::int64_t minimum, std::int64_t limit) {
+    return std::uniform_int_distribution<std::int64_t>(minimum, limit)(random_);
   }
   bool chance(int of) {
     return between(1, of) == 1;
   }
   int any_machine() {
-    auto place = machines_.begin();
-    std::advance(place, between(0, static_cast<std::int64_t>(machines_.size()) - 1));
-    return *place;
+    auto position = machines_.begin();
+    std::advance(position, between(0, static_cast<std::int64_t>(machines_.size()) - 1));
+    return *position;
   }
   // What would come after the healing comes just before it.
   void add(Micros at, Act act, int node, std::int64_t value = 0, int other = 0) {
@@ -153,7 +153,7 @@
       return add(storm_until_ - catch_up(), Act::calm, 0);
     }
     if (kind == 2 && walk_.setup.brokers)
-      return add(at, Act::mark, machine);
+      return add(at, Act::revision, machine);
     if ((kind == 3 || kind == 4) && walk_.setup.brokers) {
       const int broker = static_cast<int>(between(0, walk_.setup.brokers - 1));
       add(at, kind == 3 ? Act::broker_stop : Act::broker_freeze, broker);
--- a/tools/model_walk.h
+++ b/tools/model_walk.h
@@ -19,7 +19,7 @@
   read_without_majority,
   learner_counted_early,
   replacement_in_one_step,
-  answer_of_old_life,
+  reply_to_old_incarnation,
   lower_term_obeyed,
   lease_from_arrival,
   snapshot_without_term,
@@ -52,8 +52,8 @@
   storm,
   calm,  // value: messages lost, per thousand
   write,
-  read,  // an operator's call; value: version
-  mark,  // the leader proposes the next table of leads
+  read,      // an operator's call; value: version
+  revision,  // the leader proposes the next table of leads
   broker_stop,
   broker_start,
   broker_freeze,
@@ -117,7 +117,7 @@
 };
 
 struct Ranges {
-  int least_members = 3, most_members = 7, most_brokers = 4;
+  int min_members = 3, max_members = 7, max_brokers = 4;
   int seconds = 60;
   bool is_beyond = false;
   Planted planted = Planted::none;
--- a/tools/model_world.cpp
+++ b/tools/model_world.cpp
@@ -47,22 +47,22 @@
   return broker != brokers_.end() ? broker->second.get() : nullptr;
 }
 
-Moment World::local(const Machine& machine) const {
-  return Moment{} + 1000s +
+TimePoint World::local(const Machine& machine) const {
+  return TimePoint{} + 1000s +
          std::chrono::microseconds(machine.offset +
                                    static_cast<Micros>(static_cast<double>(now_) * machine.rate));
 }
 
-Micros World::global(const Machine& machine, Moment moment) const {
+Micros World::global(const Machine& machine, TimePoint moment) const {
   const auto since =
-      std::chrono::duration_cast<std::chrono::microseconds>(moment - Moment{} - 1000s).count() -
+      std::chrono::duration_cast<std::chrono::microseconds>(moment - TimePoint{} - 1000s).count() -
       machine.offset;
   return static_cast<Micros>(static_cast<double>(since) / machine.rate);
 }
 
-void World::push(Micros at, Event::Kind kind, int from, int to, std::uint64_t life,
+void World::push(Micros at, Event::Kind kind, int from, int to, std::uint64_t incarnation,
                  Content content) {
-  heap_.push_back({at, ++order_, kind, from, to, life, std::move(content)});
+  heap_.push_back({at, ++order_, kind, from, to, incarnation, std::move(content)});
   std::push_heap(heap_.begin(), heap_.end());
 }
 
@@ -82,12 +82,12 @@
   };
   if (part(0, 1000) < (is_healed_ ? 0 : std::max(setup.loss, storm_)))
     return;
-  const Micros least = is_healed_ ? std::min<Micros>(setup.delay, 20'000) : setup.delay,
+  const Micros minimum = is_healed_ ? std::min<Micros>(setup.delay, 20'000) : setup.delay,
                jitter = is_healed_ ? std::min<Micros>(setup.jitter, 30'000) : setup.jitter;
   const auto way = [&](int shift) {
-    return least + (jitter
-                        ? static_cast<Micros>((noise >> shift) % static_cast<std::uint64_t>(jitter))
-                        : 0);
+    return minimum +
+           (jitter ? static_cast<Micros>((noise >> shift) % static_cast<std::uint64_t>(jitter))
+                   : 0);
   };
   Micros delay = way(10);
   if (!is_healed_ && part(20, 1000) < setup.late)
@@ -102,7 +102,7 @@
   Machine* to = machine(event.to);
   if (!to || (event.kind != Event::Kind::start && !to->is_up))
     return;
-  if (event.life && event.life != to->life)
+  if (event.incarnation && event.incarnation != to->incarnation)
     return;
   if (event.kind == Event::Kind::save) {  // the disk goes on though the process stands still
     Node& node = *nodes_[event.to];
@@ -112,14 +112,14 @@
     if (event.kind == Event::Kind::deliver)
       to->held.push_back(std::move(event));
     else if (event.kind == Event::Kind::follow)
-      push(now_ + 400'000, event.kind, 0, event.to, event.life, {});
+      push(now_ + 400'000, event.kind, 0, event.to, event.incarnation, {});
     return;
   }
   if (const auto found = brokers_.find(event.to); found != brokers_.end()) {
     if (event.kind == Event::Kind::follow)
       return follow(*found->second);
-    if (const BeatPacket* beat = std::get_if<BeatPacket>(&event.content))
-      take_beat(*found->second, *beat);
+    if (const HeartbeatPacket* heartbeat = std::get_if<HeartbeatPacket>(&event.content))
+      handle_heartbeat(*found->second, *heartbeat);
     return;
   }
   Node& node = *nodes_[event.to];
@@ -140,13 +140,13 @@
   const bool is_broker = step.act >= Act::broker_stop;
   int number = is_broker ? first_broker + step.node : step.node;
   if (number == 0) {  // the leader of the moment; whatever ends goes to the one that it began with
-    const auto [place, is_new] = chosen_.try_emplace(step.group, 0);
+    const auto [position, is_new] = chosen_.try_emplace(step.group, 0);
     if (is_new)
       for (const auto& [candidate, node] : nodes_)
-        if (node->is_up && node->agreement->is_leader() &&
-            (!place->second || node->agreement->term() > nodes_[place->second]->agreement->term()))
-          place->second = candidate;
-    number = place->second;
+        if (node->is_up && node->raft->is_leader() &&
+            (!position->second || node->raft->term() > nodes_[position->second]->raft->term()))
+          position->second = candidate;
+    number = position->second;
   }
   Machine* found = machine(number);
   say("-- " + describe(step));
@@ -198,12 +198,12 @@
     case Act::leave:
       if (!node.is_up || node.is_frozen)
         break;
-      [&](auto& agreement) {
-        if constexpr (requires { agreement.leave(Moment{}); })
-          agreement.leave(local(node));
+      [&](auto& raft) {
+        if constexpr (requires { raft.leave(TimePoint{}); })
+          raft.leave(local(node));
         else
-          agreement.transfer(local(node));
-      }(*node.agreement);
+          raft.transfer(local(node));
+      }(*node.raft);
       turn_node(node);
       break;
     case Act::freeze:
@@ -239,7 +239,7 @@
       const bool was_stalled = node.mode == DiskMode::stalled;
       node.mode = static_cast<DiskMode>(step.value);
       if (was_stalled && node.pending && node.is_up)
-        push(now_ + 1000, Event::Kind::save, 0, node.number, node.life,
+        push(now_ + 1000, Event::Kind::save, 0, node.number, node.incarnation,
              FinishedSave{node.pending->serial, true});
       break;
     }
@@ -256,7 +256,7 @@
     case Act::read:
       begin_call(node, true, 0);
       break;
-    case Act::mark:
+    case Act::revision:
       node.is_marking = true;
       break;
     default:
@@ -295,27 +295,27 @@
   std::size_t up = 0;
   for (auto& [number, node] : nodes_) {
     up += node->is_up;
-    if (node->is_up && node->agreement->is_leader() &&
-        (!leader || node->agreement->term() > leader->agreement->term()))
+    if (node->is_up && node->raft->is_leader() &&
+        (!leader || node->raft->term() > leader->raft->term()))
       leader = node.get();
   }
-  if (!leader || !leader->agreement->is_confirmed(local(*leader)))
+  if (!leader || !leader->raft->is_confirmed(local(*leader)))
     return no("no leader with a majority behind it");
-  const Entry& entry = *leader->agreement->committed();
+  const Entry& entry = *leader->raft->committed();
   if (entry.members.size() < std::min<std::size_t>(entry.core_size, up))
     return no("only " + std::to_string(entry.members.size()) + " members of " +
               std::to_string(entry.core_size) + ", " + std::to_string(up) + " are up");
   for (const Member& member : entry.members) {
     const auto number = numbers_.find(member.address);
     const Node* node = number != numbers_.end() ? nodes_[number->second].get() : nullptr;
-    if (!node || !node->is_up || node->agreement->self() != member.id)
+    if (!node || !node->is_up || node->raft->self() != member.id)
       return no("member " + std::to_string(member.id.value) + " at " + member.address + " is gone");
-    if (!node->agreement->committed() || node->agreement->committed()->index != entry.index)
+    if (!node->raft->committed() || node->raft->committed()->index != entry.index)
       return no("member " + std::to_string(member.id.value) + " at " + member.address +
                 " has not caught up");
   }
   for (const auto& [number, broker] : brokers_) {
-    const ConfigurationSnapshot& serving = broker->turnover->serving();
+    const ConfigurationSnapshot& serving = broker->version_switch->serving();
     if (entry.version.value && (!serving || serving->version != entry.version))
       return no("broker " + std::to_string(number - first_broker) + " serves by another version");
   }
--- a/tools/model_world.h
+++ b/tools/model_world.h
@@ -20,35 +20,35 @@
 // than is modelled.
 struct CallPacket {  // an operator's call handed to the leader
   int origin = 0;
-  std::uint64_t life = 0, token = 0;
+  std::uint64_t incarnation = 0, token = 0;
   bool is_read = false;
   Version version;
   std::string body;
 };
 struct AnswerPacket {
-  std::uint64_t life = 0, token = 0;
+  std::uint64_t incarnation = 0, token = 0;
   bool is_done = false;
   Version version;  // of a read
   std::string body;
 };
 struct FollowPacket {
   int broker = 0;
-  std::uint64_t life = 0, token = 0, mark = 0;
+  std::uint64_t incarnation = 0, token = 0, revision = 0;
   Version held;
 };
-struct BeatPacket {
+struct HeartbeatPacket {
   Version version, in_force;
   bool is_leader = false;
-  std::uint64_t life = 0, token = 0, mark = 0;
+  std::uint64_t incarnation = 0, token = 0, revision = 0;
   double grant = 0;
-  Span grant_valid{}, hold{};
+  Duration grant_valid{}, lease{};
 };
 struct FinishedSave {
   std::uint64_t serial = 0;
   bool is_saved = false;
 };
 using Content = std::variant<std::monostate, RaftMessage, CallPacket, AnswerPacket, FollowPacket,
-                             BeatPacket, FinishedSave>;
+                             HeartbeatPacket, FinishedSave>;
 
 class World {
  public:
@@ -68,7 +68,7 @@
       follow
     } kind;
     int from, to;
-    std::uint64_t life;  // of the node it is for; deliveries reach any
+    std::uint64_t incarnation;  // of the node it is for; deliveries reach any
     Content content;
     bool operator<(const Event& other) const {
       return std::pair(at, order) > std::pair(other.at, other.order);
@@ -77,7 +77,7 @@
   struct Machine {  // what a registry's and a broker's have in common
     int number = 0;
     bool is_up = false, is_frozen = false, is_gone = false;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     double rate = 1;
     Micros offset = 0;
     int cut = 0;              // 1 in, 2 out
@@ -89,57 +89,58 @@
     Version version;
     std::string body;
     int origin = 0;  // 0: here
-    std::uint64_t origin_life = 0, origin_token = 0;
+    std::uint64_t origin_incarnation = 0, origin_token = 0;
     std::string sent_to;
-    Moment deadline;
+    TimePoint deadline;
   };
   struct Row {
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     Version held;
-    Moment heard;
+    TimePoint last_contact;
   };
   struct Node : Machine {
     std::string address;
-    std::unique_ptr<Agreement> agreement;
-    Durable disk, disk_before;  // what the next life finds; what a save replaced whose folder was
-                                // not synced yet
+    std::unique_ptr<RaftNode> raft;
+    PersistentState disk, disk_before;  // what the next life finds; what a save replaced whose
+                                        // folder was not synced yet
     bool has_disk = false, has_before = false;
     DiskMode mode = DiskMode::well;
-    std::optional<Agreement::Save> pending;
+    std::optional<RaftNode::Save> pending;
     Micros wake_at = -1;
     std::map<std::uint64_t, Call> calls;
     std::uint64_t last_token = 0;
     EntrySnapshot noted;
-    std::unique_ptr<Rollout> rollout;
-    std::unique_ptr<Grants> grants;
-    std::unique_ptr<Holders> holders;
+    std::unique_ptr<VersionRollout> rollout;
+    std::unique_ptr<RetryQuotaAllocator> grants;
+    std::unique_ptr<LeaseTable> leases;
     std::map<int, Row> rows;
     bool is_holding = false;  // leads by a lease, as the leader of tables does
     Term led_term;
-    std::uint64_t mark = 0;
+    std::uint64_t revision = 0;
     bool is_marking = false;
   };
   struct Broker : Machine {
-    std::unique_ptr<Turnover> turnover;
-    Reserve reserve;
-    std::uint64_t last_token = 0, mark = 0;
-    std::map<std::uint64_t, Moment> asked;
-    Moment held_until{};
+    std::unique_ptr<VersionSwitch> version_switch;
+    RetryQuota reserve;
+    std::uint64_t last_token = 0, revision = 0;
+    std::map<std::uint64_t, TimePoint> asked;
+    TimePoint held_until{};
   };
   struct Granted {
     int broker;
-    std::uint64_t life;
+    std::uint64_t incarnation;
     double amount;
     Micros until;
   };
 
   // model_world.cpp
-  void push(Micros at, Event::Kind kind, int from, int to, std::uint64_t life, Content content);
+  void push(Micros at, Event::Kind kind, int from, int to, std::uint64_t incarnation,
+            Content content);
   void send(int from, int to, Content content);
   void handle(Event event);
   Machine* machine(int number);
-  Moment local(const Machine& machine) const;
-  Micros global(const Machine& machine, Moment moment) const;
+  TimePoint local(const Machine& machine) const;
+  Micros global(const Machine& machine, TimePoint moment) const;
   std::uint64_t draw(std::uint64_t salt);
   void apply(const Step& step);
   void heal();
@@ -156,7 +157,7 @@
   void wipe_node(Node& node);
   void turn_node(Node& node);  // after whatever came to it, as the core's loop does
   void flush(Node& node);
-  void begin_save(Node& node, Agreement::Save save);
+  void begin_save(Node& node, RaftNode::Save save);
   void end_save(Node& node, std::uint64_t serial);
   void observe(Node& node);
   void take(Node& node, int from, Content& content);
@@ -165,22 +166,22 @@
   void route_calls(Node& node);
   void finish_call(Node& node, std::uint64_t token, bool is_done, Version version,
                    const std::string& body);
-  void plant_in_entry(Node& node, const Durable& durable);
+  void plant_in_entry(Node& node, const PersistentState& persistent);
   std::vector<std::string> contacts() const;
 
   // model_brokers.cpp
   void start_broker(Broker& broker);
   void follow(Broker& broker);
-  void take_beat(Broker& broker, const BeatPacket& beat);
-  void take_follow(Node& node, const FollowPacket& follow);
-  BeatPacket make_beat(Node& node);
-  void tend_tables(Node& node);
-  void tend_rollout(Node& node);
+  void handle_heartbeat(Broker& broker, const HeartbeatPacket& heartbeat);
+  void handle_subscribe(Node& node, const FollowPacket& follow);
+  HeartbeatPacket make_heartbeat(Node& node);
+  void update_tables(Node& node);
+  void advance_rollout(Node& node);
 
   const Walk& walk_;
   std::ostream* trace_;
   Micros now_ = 0;
-  std::uint64_t order_ = 0, drawn_ = 0, lives_ = 0, ids_ = 1000;
+  std::uint64_t order_ = 0, drawn_ = 0, incarnations_ = 0, ids_ = 1000;
   std::vector<Event> heap_;
   std::map<int, std::unique_ptr<Node>> nodes_;
   std::map<int, std::unique_ptr<Broker>> brokers_;
