--- a/tools/model_world.cpp
+++ b/tools/model_world.cpp
@@ -86,6 +86,7 @@
   if (to->is_frozen) {
     if (event.kind == Event::Kind::deliver) to->held.push_back(std::move(event));
     else if (event.kind == Event::Kind::follow) push(now_ + 400'000, event.kind, 0, event.to, event.life, {});
+    else if (event.kind == Event::Kind::wake) nodes_[event.to]->wake_at = -1;  // else no wake would follow the thaw
     return;
   }
   if (const auto found = brokers_.find(event.to); found != brokers_.end()) {
