--- a/tools/model_nodes.cpp
+++ b/tools/model_nodes.cpp
@@ -155,6 +155,16 @@
   }(const_cast<Entry&>(*durable.entry));
 }
 
+// A planted fault: the lead is handed over, and the leader goes on as if it had not been.
+void World::transfer_and_lead_on(Node& node) {
+  flush(node);
+  const Agreement leading = *node.agreement;
+  node.agreement->transfer(local(node));
+  flush(node);
+  *node.agreement = leading;
+  turn_node(node);
+}
+
 void World::turn_node(Node& node) {
   const Moment now = local(node);
   node.agreement->tick(now);
@@ -194,6 +204,7 @@
 void World::observe(Node& node) {
   const Agreement& agreement = *node.agreement;
   if (agreement.is_leader()) ledger_.lead(agreement.term(), agreement.self(), node.life);
+  check_lease(node);
   const EntrySnapshot& committed = agreement.committed();
   if (!committed || committed == node.noted) return;
   if (node.noted && std::tuple(committed->term, committed->index) < std::tuple(node.noted->term, node.noted->index))
@@ -207,6 +218,15 @@
   if (committed->version.value) node.rollout->commit(committed->version, local(node));
 }
 
+// A lease begins with what comes to its holder, so the later of two is seen here. A frozen holder counts too: thawed, it acts by it.
+void World::check_lease(const Node& node) {
+  if (!node.agreement->is_leased(local(node))) return;
+  const auto name = [](const Node& holder) { return "registry " + std::to_string(holder.number) + " (term " + std::to_string(holder.agreement->term().value) + ")"; };
+  for (const auto& [number, other] : nodes_)
+    if (other.get() != &node && other->is_up && other->agreement->is_leased(local(*other)))
+      fail("one leader under a lease", name(node) + " is under a lease, and so is " + name(*other));
+}
+
 void World::take(Node& node, int from, Content& content) {
   if (RaftMessage* message = std::get_if<RaftMessage>(&content)) return receive(node, from, *message);
   if (const FollowPacket* follow = std::get_if<FollowPacket>(&content)) return take_follow(node, *follow);
--- a/tools/model_walk.cpp
+++ b/tools/model_walk.cpp
@@ -15,13 +15,13 @@
 
 constexpr const char* planted_names[] = {"none", "answer-before-sync", "vote-forgotten", "read-without-majority", "learner-counted-early", "replacement-in-one-step", "answer-of-old-life",
                                          "lower-term-obeyed", "lease-from-arrival", "snapshot-without-term", "folder-sync-left-out", "wiped-under-old-id", "grant-twice", "lease-without-settling",
-                                         "in-force-uncommitted"};
+                                         "in-force-uncommitted", "lead-kept-after-transfer"};
 constexpr const char* act_names[] = {"stop", "start", "leave", "power", "freeze", "thaw", "cut", "mend", "cut-link", "mend-link", "disk", "wipe", "remove", "replace", "storm", "calm", "write", "read", "mark",
                                      "broker-stop", "broker-start", "broker-freeze", "broker-thaw"};
 // By which check each must be found: one that only the core's standing still tells of is not found by its harm.
 constexpr const char* planted_checks[] = {"", "committed stays|acknowledged stays", "one leader a term|committed stays", "linearizable", "committed stays|acknowledged stays", "majorities meet",
                                           "linearizable|acknowledged is committed", "one leader a term|committed stays", "leases never overlap|grants within the whole", "committed stays|acknowledged stays",
-                                          "committed stays|acknowledged stays", "one leader a term|committed stays|acknowledged stays", "grants within the whole", "leases never overlap", "in force is committed"};
+                                          "committed stays|acknowledged stays", "one leader a term|committed stays|acknowledged stays", "grants within the whole", "leases never overlap", "in force is committed", "one leader under a lease"};
 static_assert(std::size(planted_checks) == planted_count && std::size(planted_names) == planted_count && std::size(act_names) == act_count);
 
 template <class Enum, std::size_t size>
--- a/tools/model_walk.h
+++ b/tools/model_walk.h
@@ -27,8 +27,9 @@
   grant_twice,
   lease_without_settling,
   in_force_uncommitted,
+  lead_kept_after_transfer,
 };
-inline constexpr int planted_count = 15;
+inline constexpr int planted_count = 16;
 const char* name_of(Planted planted);
 bool is_found_by(Planted planted, const std::string& check);
 std::optional<Planted> planted_of(const std::string& name);
--- a/tools/model_world.cpp
+++ b/tools/model_world.cpp
@@ -149,6 +149,10 @@
       break;
     case Act::leave:
       if (!node.is_up || node.is_frozen) break;
+      if (walk_.setup.planted == Planted::lead_kept_after_transfer && node.agreement->is_leader()) {
+        transfer_and_lead_on(node);
+        break;
+      }
       [&](auto& agreement) {
         if constexpr (requires { agreement.leave(Moment{}); }) agreement.leave(local(node));
         else agreement.transfer(local(node));
--- a/tools/model_world.h
+++ b/tools/model_world.h
@@ -146,12 +146,14 @@
   void begin_save(Node& node, Agreement::Save save);
   void end_save(Node& node, std::uint64_t serial);
   void observe(Node& node);
+  void check_lease(const Node& node);
   void take(Node& node, int from, Content& content);
   void receive(Node& node, int from, RaftMessage& message);
   void begin_call(Node& node, bool is_read, std::int64_t version);
   void route_calls(Node& node);
   void finish_call(Node& node, std::uint64_t token, bool is_done, Version version, const std::string& body);
   void plant_in_entry(Node& node, const Durable& durable);
+  void transfer_and_lead_on(Node& node);
   std::vector<std::string> contacts() const;
 
   // model_brokers.cpp
