--- a/tools/model_world.cpp
+++ b/tools/model_world.cpp
@@ -86,6 +86,7 @@
   if (to->is_frozen) {
     if (event.kind == Event::Kind::deliver) to->held.push_back(std::move(event));
     else if (event.kind == Event::Kind::follow) push(now_ + 400'000, event.kind, 0, event.to, event.life, {});
+    else if (event.kind == Event::Kind::wake) nodes_[event.to]->wake_at = -1;  // else no wake would follow the thaw
     return;
   }
   if (const auto found = brokers_.find(event.to); found != brokers_.end()) {
@@ -148,6 +149,10 @@
       break;
     case Act::leave:
       if (!node.is_up || node.is_frozen) break;
+      if (walk_.setup.planted == Planted::lead_kept_after_transfer && node.agreement->is_leader()) {
+        transfer_and_lead_on(node);
+        break;
+      }
       [&](auto& agreement) {
         if constexpr (requires { agreement.leave(Moment{}); }) agreement.leave(local(node));
         else agreement.transfer(local(node));
