--- a/tools/checks/check_includes.py
+++ b/tools/checks/check_includes.py
@@ -24,10 +24,14 @@
 # Known upward includes: (including file, included file): reason. One that no longer occurs is an
 # error.
 KNOWN_UPWARD = {
-    ("src/transport/caller.cpp", "src/protocol/calls.h"):
-        "the HTTP client reads the names of headers, which belong where both layers may look",
-    ("src/transport/wire_link.h", "src/protocol/session_wire.h"):
-        "the link carries the database session's messages; it belongs above the protocol",
+    (
+        "src/transport/caller.cpp",
+        "src/protocol/calls.h",
+    ): "the HTTP client reads the names of headers, which belong where both layers may look",
+    (
+        "src/transport/wire_link.h",
+        "src/protocol/session_wire.h",
+    ): "the link carries the database session's messages; it belongs above the protocol",
 }
 
 SOURCE_FOLDERS = ("src", "tests", "tools")
@@ -37,8 +41,12 @@
 def read_includes(root):
     """Returns the project files that each one includes, and an error for each name not found."""
     graph, errors = {}, []
-    files = [path for folder in SOURCE_FOLDERS for path in sorted((root / folder).rglob("*"))
-             if path.suffix in (".h", ".cpp")]
+    files = [
+        path
+        for folder in SOURCE_FOLDERS
+        for path in sorted((root / folder).rglob("*"))
+        if path.suffix in (".h", ".cpp")
+    ]
     for path in files:
         graph[str(path.relative_to(root))] = included = []
         for match in INCLUDE.finditer(path.read_text(encoding="utf-8")):
@@ -81,8 +89,11 @@
                 seen.add((file, target))
             else:
                 errors.append(f"{file}: includes upward: {target}")
-    errors += [f"{file}: no longer includes {target}: strike it from the known ones"
-               for file, target in KNOWN_UPWARD if (file, target) not in seen]
+    errors += [
+        f"{file}: no longer includes {target}: strike it from the known ones"
+        for file, target in KNOWN_UPWARD
+        if (file, target) not in seen
+    ]
     return errors
 
 
@@ -92,7 +103,8 @@
 
     def visit(file, path):
         if file in path:
-            errors.append("circle: " + " -> ".join(path[path.index(file):] + [file]))
+            start = path.index(file)
+            errors.append("circle: " + " -> ".join(path[start:] + [file]))
             return
         if file in done:
             return
--- a/tools/checks/check_packages.py
+++ b/tools/checks/check_packages.py
@@ -11,10 +11,11 @@
     headers    every other system header that the compiler reads for the library and the program
     libraries  every library on the program's link line
 
-Tools, includes and libraries need a package that is listed itself. A listed package that holds
-links alone (g++, libboost-dev) stands for those it depends on, and the listed compiler for the
-headers of its C and C++ library. Other headers may come with any dependency of a listed package.
-Exits with 1 and one line for each package that is missing.
+Tools, includes and libraries linked by name need a package that is listed itself. A listed package
+that holds links alone (g++, libboost-dev) stands for those it depends on, and the listed compiler
+for the headers of its C and C++ library. Libraries linked by path may come with a package that a
+listed one depends on, other headers with any further dependency. Exits with 1 and one line for each
+package that is missing.
 """
 import argparse
 import concurrent.futures
@@ -96,8 +97,10 @@
 def has_links_alone(package):
     """Tells whether a package holds nothing but links and documentation."""
     files = run(["dpkg-query", "-L", package]).splitlines()
-    return all(file.startswith("/usr/share/") or os.path.islink(file) or os.path.isdir(file)
-               for file in files)
+    return all(
+        file.startswith("/usr/share/") or os.path.islink(file) or os.path.isdir(file)
+        for file in files
+    )
 
 
 def find_all_dependencies(packages):
@@ -122,10 +125,11 @@
             if has_links_alone(name):
                 self.direct |= find_dependencies(name)
         self.all = find_all_dependencies(self.names)
-        self.runtime = set()  # a development package names the library file of its runtime package
-        for name in self.direct:
-            if name.endswith("-dev"):
-                self.runtime |= find_dependencies(name)
+        # Libraries by their path come from a listed package's CMake files, which may name those of
+        # the packages it depends on.
+        self.linked = set().union(
+            *(find_dependencies(name) for name in self.direct if name.endswith("-dev"))
+        )
 
     def add_compiler(self, package):
         if package in self.direct:
@@ -142,15 +146,19 @@
     """Returns (folder, words) of the compilations of the sources under src."""
     run(["cmake", "-S", str(ROOT), "-B", str(build), "-DCMAKE_EXPORT_COMPILE_COMMANDS=ON"])
     entries = json.loads((build / "compile_commands.json").read_text())
-    return [(entry["directory"], shlex.split(entry["command"])) for entry in entries
-            if pathlib.Path(entry["file"]).is_relative_to(ROOT / "src")]
+    return [
+        (entry["directory"], shlex.split(entry["command"]))
+        for entry in entries
+        if pathlib.Path(entry["file"]).is_relative_to(ROOT / "src")
+    ]
 
 
 def read_headers(command):
     """Returns the files that one compilation reads, the project's own left out."""
     folder, words = command
     output = words.index("-o")
-    rule = run([*words[:output], *words[output + 2:], "-M"], folder)
+    after = output + 2
+    rule = run([*words[:output], *words[after:], "-M"], folder)
     files = rule.replace("\\\n", " ").partition(":")[2].split()
     paths = {os.path.normpath(os.path.join(folder, file)) for file in files}
     return {path for path in paths if not pathlib.Path(path).is_relative_to(ROOT)}
@@ -162,8 +170,9 @@
     for _, words in commands:
         folders += [word[2:] for word in words if word.startswith("-I")]
         folders += [words[at + 1] for at, word in enumerate(words) if word == "-isystem"]
-    search = subprocess.run([compiler, "-x", "c++", "-E", "-v", "/dev/null"],
-                            capture_output=True, text=True)
+    search = subprocess.run(
+        [compiler, "-x", "c++", "-E", "-v", "/dev/null"], capture_output=True, text=True
+    )
     listing = search.stderr.partition("#include <...> search starts here:")[2]
     folders += listing.partition("End of search list.")[0].split()
     return list(dict.fromkeys(folders))
@@ -222,8 +231,9 @@
 
 
 def main():
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--build", type=pathlib.Path, default=ROOT / "target")
     parser.add_argument("--settings", type=pathlib.Path, default=ROOT / "deploy" / "system.toml")
     options = parser.parse_args()
@@ -247,10 +257,15 @@
     errors = len(listed.absent)
     errors += report_missing("tool", tools, listed.direct)
     errors += report_missing("include", includes, listed.direct)
-    errors += report_missing("library", libraries, listed.direct | listed.runtime)
+    named = {path: word for path, word in libraries.items() if word.startswith("-l")}
+    by_path = {path: word for path, word in libraries.items() if path not in named}
+    errors += report_missing("library", named, listed.direct)
+    errors += report_missing("library", by_path, listed.direct | listed.linked)
     errors += report_missing("header", headers, listed.direct | listed.all)
-    print(f"packages: {len(tools)} tools, {len(includes)} includes, {len(headers)} headers, "
-          f"{len(libraries)} libraries: {errors} errors")
+    print(
+        f"packages: {len(tools)} tools, {len(includes)} includes, {len(headers)} headers, "
+        f"{len(libraries)} libraries: {errors} errors"
+    )
     return 1 if errors else 0
 
 
