--- /dev/null
+++ b/tools/checks/lint.sh
@@ -0,0 +1,27 @@
+#!/usr/bin/env bash
+# Checks the format and style of all sources and scripts. Every check runs, also after one that fails.
+# Usage: tools/checks/lint.sh BUILD_FOLDER, a configured build of the tests; JOBS: how many at once.
+set -euo pipefail
+cd "$(dirname "$0")/../.."
+if (($# != 1)); then
+  echo "usage: lint.sh BUILD_FOLDER" >&2
+  exit 2
+fi
+shell_scripts=$(git ls-files '*.sh' .ci/run)
+python_scripts=$(git ls-files '*.py')
+failed=()
+check() {  # name, then the command
+  local name=$1 started=$SECONDS result=passed
+  shift
+  "$@" || { result=FAILED; failed+=("$name"); }
+  echo "lint: $name: $result in $((SECONDS - started)) s"
+}
+check clang-format tools/checks/format.sh --check
+check shellcheck xargs -d '\n' shellcheck <<<"$shell_scripts"
+check flake8 xargs -d '\n' flake8 --max-line-length 100 <<<"$python_scripts"
+check includes tools/checks/check_includes.py
+check clang-tidy tools/checks/tidy.sh "$1"
+if ((${#failed[@]})); then
+  echo "lint: failed: ${failed[*]}"
+  exit 1
+fi
