--- /dev/null
+++ b/tests/wire_format_raft_test.cpp
@@ -0,0 +1,151 @@
+// The bytes of Raft messages and of the core's status, against fixtures.
+#include "coordination/entry_change.h"
+#include "frame_checks.h"
+
+using namespace saddlewing;
+using namespace saddlewing::tests;
+
+namespace {
+
+using Type = RaftMessage::Type;
+
+struct NamedType {
+  Type type;
+  const char* name;
+};
+
+constexpr NamedType raft_types[] = {
+    {Type::pre_vote, "raft_pre_vote"},        {Type::pre_voted, "raft_pre_vote_answer"},
+    {Type::vote, "raft_request_vote"},        {Type::voted, "raft_request_vote_answer"},
+    {Type::append, "raft_append_entries"},    {Type::appended, "raft_append_entries_answer"},
+    {Type::transfer, "raft_transfer_leader"}, {Type::join, "raft_join"},
+    {Type::joined, "raft_join_answer"},       {Type::leave, "raft_leave"},
+    {Type::left, "raft_leave_answer"},
+};
+
+EntryPiece full_piece() {
+  EntryPiece piece;
+  piece.term = {201};
+  piece.index = {202};
+  piece.version = {203};
+  piece.core_size = 204;
+  piece.members = {{MemberId{205}, "10.0.0.1:7400"}, {MemberId{206}, "10.0.0.2:7400"}};
+  piece.former = {{MemberId{207}, "10.0.0.3:7400"}};
+  piece.base_term = {208};
+  piece.base_index = {209};
+  piece.body = {210, 211, 212};
+  piece.sheets = {213, 214, 215};
+  piece.digest = 216;
+  piece.total = 217;
+  piece.offset = 218;
+  piece.bytes = std::string("piece \0 bytes", 13);
+  return piece;
+}
+
+RaftMessage full_message(Type type) {
+  RaftMessage message;
+  message.type = type;
+  message.from = {221};
+  message.address = "10.0.0.4:7400";
+  message.term = {222};
+  message.entry_term = {223};
+  message.entry_index = {224};
+  message.commit = {225};
+  message.round = 226;
+  message.is_granted = true;
+  message.is_transfer = true;
+  message.is_removed = true;
+  message.is_confirmed = true;
+  message.piece = full_piece();
+  message.piece_index = {227};
+  message.piece_end = 228;
+  message.wants_whole = true;
+  message.members = {{MemberId{229}, "10.0.0.5:7400"}, {MemberId{230}, "10.0.0.6:7400"}};
+  message.leader = "10.0.0.7:7400";
+  return message;
+}
+
+CoreStatus full_status() {
+  CoreStatus status;
+  status.node = "node a";
+  status.self = {241};
+  status.address = "10.0.0.1:7400";
+  status.role = CoreStatus::Role::leader;
+  status.is_voter = true;
+  status.is_removed = true;
+  status.term = {242};
+  status.leader = "10.0.0.2:7400";
+  status.leader_heard = 243;
+  status.has_committed = true;
+  status.committed_term = {244};
+  status.committed = {245};
+  status.last = {246};
+  status.leader_last = {247};
+  status.version = {248};
+  status.core_size = 249;
+  status.is_confirmed = true;
+  status.is_save_failing = true;
+  status.is_save_stuck = true;
+  status.saving = 250;
+  status.peers = {{MemberId{251}, "10.0.0.3:7400", true, false, false, 252, 253},
+                  {MemberId{254}, "10.0.0.4:7400", false, true, false, 255, 256},
+                  {MemberId{257}, "10.0.0.5:7400", false, false, true, 258, 259}};
+  return status;
+}
+
+}  // namespace
+
+Test(wire_format, raft_messages_of_every_type) {
+  for (const NamedType& row : raft_types) {
+    const std::string name = row.name;
+    check_frame(name + "_full", FrameKind::raft, full_message(row.type));
+    RaftMessage empty;
+    empty.type = row.type;
+    check_frame(name + "_empty", FrameKind::raft, empty);
+  }
+}
+
+Test(wire_format, raft_flags) {
+  check_flag("raft_only_granted", FrameKind::raft, &RaftMessage::is_granted);
+  check_flag("raft_only_transfer", FrameKind::raft, &RaftMessage::is_transfer);
+  check_flag("raft_only_removed", FrameKind::raft, &RaftMessage::is_removed);
+  check_flag("raft_only_confirmed", FrameKind::raft, &RaftMessage::is_confirmed);
+  check_flag("raft_only_wants_whole", FrameKind::raft, &RaftMessage::wants_whole);
+  RaftMessage piece_alone;
+  piece_alone.piece.emplace();
+  check_frame("raft_only_blank_piece", FrameKind::raft, piece_alone);
+}
+
+Test(wire_format, an_unknown_raft_type_is_refused) {
+  RaftMessage message;
+  message.type = static_cast<Type>(static_cast<std::uint64_t>(Type::left) + 1);
+  FrameHead head;
+  RaftMessage decoded;
+  cr_expect(!decodes_as(encode(frame_sender(), message), head, decoded));
+}
+
+Test(wire_format, core_status) {
+  expect_fixture(frame_fixture("core_status_request"), encode_core_status_request(frame_sender()));
+  const std::string request = read_fixture(frame_fixture("core_status_request"));
+  ByteReader reader(request);
+  FrameHead head;
+  cr_expect(decode_head(reader, head) && reader.is_whole() &&
+            head.kind == FrameKind::core_status_request);
+  check_frame("core_status_full", FrameKind::core_status, full_status());
+  check_frame("core_status_empty", FrameKind::core_status, CoreStatus{});
+  check_flag("core_status_only_voter", FrameKind::core_status, &CoreStatus::is_voter);
+  check_flag("core_status_only_removed", FrameKind::core_status, &CoreStatus::is_removed);
+  check_flag("core_status_only_has_committed", FrameKind::core_status, &CoreStatus::has_committed);
+  check_flag("core_status_only_confirmed", FrameKind::core_status, &CoreStatus::is_confirmed);
+  check_flag("core_status_only_save_failing", FrameKind::core_status, &CoreStatus::is_save_failing);
+  check_flag("core_status_only_save_stuck", FrameKind::core_status, &CoreStatus::is_save_stuck);
+}
+
+Test(wire_format, core_status_roles) {
+  using Role = CoreStatus::Role;
+  for (const Role role : {Role::follower, Role::pre_candidate, Role::candidate, Role::leader}) {
+    CoreStatus status;
+    status.role = role;
+    check_frame(std::string("core_status_role_") + name_of(role), FrameKind::core_status, status);
+  }
+}
--- /dev/null
+++ b/tests/wire_format_test.cpp
@@ -0,0 +1,213 @@
+// The bytes of frames between nodes, against fixtures: nodes of different builds work together in
+// one cluster.
+#include "frame_checks.h"
+
+using namespace saddlewing;
+using namespace saddlewing::tests;
+
+Test(wire_format, forwarded_calls) {
+  check_frame("forward_full", FrameKind::forward,
+              Forward{11, true, Version{12}, "a body", Term{13}});
+  check_frame("forward_empty", FrameKind::forward, Forward{});
+  check_frame("forwarded_full", FrameKind::forwarded,
+              Forwarded{21, LifeId{22}, true, Version{23}, 24, Term{25}, true, "an answer"});
+  check_frame("forwarded_empty", FrameKind::forwarded, Forwarded{});
+  check_flag("forwarded_only_read", FrameKind::forwarded, &Forwarded::is_read);
+  check_flag("forwarded_only_done", FrameKind::forwarded, &Forwarded::is_done);
+}
+
+Test(wire_format, negative_versions_keep_their_sign) {
+  check_frame("body_negative_version", FrameKind::body, Body{Version{-2}, {}});
+}
+
+Test(wire_format, follow) {
+  Follow value;
+  value.version = {31};
+  value.roster_life = 32;
+  value.roster_mark = 33;
+  value.wants_body = true;
+  value.wants_roster = true;
+  value.region = "region north";
+  value.is_ready = true;
+  value.seats_mark = 34;
+  value.token = 35;
+  value.leads_mark = 36;
+  value.locality = "zone 1";
+  value.failing = std::string("\1\0\2", 3);
+  value.fine = "\x7f\xff";
+  value.samples = "samples";
+  value.samples_age = 37;
+  value.ring_mark = 38;
+  value.ring_held = 39;
+  value.ring_loads = "loads";
+  value.account_loads = "loads of accounts";
+  value.lookups = 40;
+  value.late_lookups = 41;
+  value.edge_counts = "counts";
+  value.edges_held = 42;
+  value.echo_life = {43};
+  value.echo = 44;
+  value.gap = 45;
+  check_frame("follow_full", FrameKind::follow, value);
+  check_frame("follow_empty", FrameKind::follow, Follow{});
+  check_flag("follow_only_wants_configuration", FrameKind::follow, &Follow::wants_body);
+  check_flag("follow_only_wants_backends", FrameKind::follow, &Follow::wants_roster);
+  check_flag("follow_only_ready", FrameKind::follow, &Follow::is_ready);
+}
+
+Test(wire_format, heartbeat) {
+  Beat value;
+  value.term = {51};
+  value.asker = {52};
+  value.token = 53;
+  value.version = {54};
+  value.in_force = {55};
+  value.is_confirmed = true;
+  value.is_filled = true;
+  value.is_leader = true;
+  value.locality = "zone 2";
+  value.region = "region south";
+  value.brokers = 56;
+  value.grant = 57;
+  value.grant_valid = 58;
+  value.registries = {"10.0.0.1:7400", "10.0.0.2:7400"};
+  value.seats_mark = 59;
+  value.seats = {{"10.0.1.1:7400", "region north"}, {"10.0.1.2:7400", "region west"}};
+  value.hold = 60;
+  value.leads_mark = 61;
+  value.leads = "leads";
+  value.samples = "samples";
+  value.serial = 62;
+  value.ring_mark = 63;
+  value.ring = "ring";
+  value.edges_in_force = 64;
+  value.edges = "edges";
+  check_frame("heartbeat_full", FrameKind::beat, value);
+  check_frame("heartbeat_empty", FrameKind::beat, Beat{});
+  check_flag("heartbeat_only_confirmed", FrameKind::beat, &Beat::is_confirmed);
+  check_flag("heartbeat_only_filled", FrameKind::beat, &Beat::is_filled);
+  check_flag("heartbeat_only_leader", FrameKind::beat, &Beat::is_leader);
+}
+
+Test(wire_format, configuration) {
+  check_frame("configuration_full", FrameKind::body,
+              Body{Version{71}, std::string("packed \0 bytes", 14)});
+  check_frame("configuration_empty", FrameKind::body, Body{});
+}
+
+Test(wire_format, backend_registry) {
+  RosterEntry first{"b-1", "search", "10.0.2.1:80", "zone 1", "v5"};
+  first.capacity = 81;
+  first.phase = Phase::emptying;
+  first.status = Status::out_of_service;
+  first.stamp = 82;
+  first.warm_left = 83;
+  first.hold_left = 84;
+  first.is_leader = true;
+  first.call_count = 85;
+  const RosterEntry second{"b-2", "orders", "10.0.2.2:80", "zone 2", ""};
+  check_frame("backends_full", FrameKind::roster,
+              Roster{true, true, true, true, "zone 3", 86, 87, {first, second}});
+  check_frame("backends_empty", FrameKind::roster, Roster{});
+  check_frame("backends_blank_entry", FrameKind::roster,
+              Roster{false, false, false, false, {}, 0, 0, {RosterEntry{}}});
+  check_flag("backends_only_whole", FrameKind::roster, &Roster::is_whole);
+  check_flag("backends_only_observed", FrameKind::roster, &Roster::is_observed);
+  check_flag("backends_only_filled", FrameKind::roster, &Roster::is_filled);
+  check_flag("backends_only_wants_whole", FrameKind::roster, &Roster::wants_whole);
+}
+
+Test(wire_format, backend_phases_and_statuses) {
+  Roster value;
+  for (const Phase phase : {Phase::ready, Phase::emptying, Phase::gone})
+    for (const Status status :
+         {Status::up, Status::down, Status::starting, Status::out_of_service, Status::unknown}) {
+      RosterEntry entry;
+      entry.phase = phase;
+      entry.status = status;
+      value.entries.push_back(entry);
+    }
+  check_frame("backends_all_states", FrameKind::roster, value);
+}
+
+Test(wire_format, renewed_backends) {
+  const RenewedIds value{{{"b-1", 91, 92, true}, {"b-2", 93, 94, false}}};
+  check_frame("renewed_full", FrameKind::renewed, value);
+  check_frame("renewed_empty", FrameKind::renewed, RenewedIds{});
+  check_frame("renewed_blank_item", FrameKind::renewed, RenewedIds{{RenewedIds::Item{}}});
+}
+
+Test(wire_format, trace) {
+  expect_fixture(frame_fixture("trace_request"), encode_trace(frame_sender()));
+  const std::string bytes = read_fixture(frame_fixture("trace_request"));
+  ByteReader reader(bytes);
+  FrameHead head;
+  cr_expect(decode_head(reader, head) && reader.is_whole() && head.kind == FrameKind::trace);
+  const std::vector<Step> steps{{Version{101}, "taken", 102}, {Version{103}, "committed", 104}};
+  check_frame("trace_answer_full", FrameKind::traced,
+              Traced{"node a",
+                     "registry",
+                     Version{105},
+                     true,
+                     steps,
+                     {"10.0.0.1:7400", "10.0.0.2:7400"},
+                     {"10.0.1.1:7400"}});
+  check_frame("trace_answer_empty", FrameKind::traced, Traced{});
+}
+
+Test(wire_format, delegated_gather) {
+  const Aid request{111, "POST", "try 1", "POST / HTTP/1.1\r\n", "a body", {"shard-a", "shard-b"},
+                    112, 113,    114};
+  check_frame("delegated_gather_request_full", FrameKind::aid, request);
+  check_frame("delegated_gather_request_empty", FrameKind::aid, Aid{});
+  const Aided answer{121,
+                     {{122, "seal 1"}, {123, "seal 2"}},
+                     {{124, 125, true}, {126, 127, false}},
+                     128,
+                     "records"};
+  check_frame("delegated_gather_answer_full", FrameKind::aided, answer);
+  check_frame("delegated_gather_answer_empty", FrameKind::aided, Aided{});
+}
+
+Test(wire_format, ring_calls) {
+  check_frame("ring_call_full", FrameKind::ring_call, RingCall{"move", "7 shard-b"});
+  check_frame("ring_call_empty", FrameKind::ring_call, RingCall{});
+  check_frame("ring_answer_full", FrameKind::ring_answer,
+              RingAnswer{true, "10.0.0.1:7400", "a reason", "{}"});
+  check_frame("ring_answer_empty", FrameKind::ring_answer, RingAnswer{});
+}
+
+Test(wire_format, edges) {
+  check_frame("edge_sums_full", FrameKind::edge_sums,
+              EdgeSums{Term{131}, {{"north", "counts 1"}, {"south", "counts 2"}}});
+  check_frame("edge_sums_empty", FrameKind::edge_sums, EdgeSums{});
+  const EdgeViewFrame view{
+      Term{141}, 142, "a view", {{{"north", "zone 1"}, 1.25}, {{"south", "zone 2"}, 40.5}}};
+  check_frame("edge_view_full", FrameKind::edge_view, view);
+  check_frame("edge_view_empty", FrameKind::edge_view, EdgeViewFrame{});
+}
+
+// Every kind by its number, and what is no head of a frame of this protocol.
+Test(wire_format, heads) {
+  for (std::uint64_t number = 0; number <= 20; ++number) {
+    const std::string bytes = open_frame(frame_sender(), static_cast<FrameKind>(number)).take();
+    ByteReader reader(bytes);
+    FrameHead head;
+    const bool is_known = number >= 1 && number <= 18;
+    cr_expect(decode_head(reader, head) == is_known, "kind %d", static_cast<int>(number));
+    if (is_known) expect_fixture(frame_fixture("head_kind_" + std::to_string(number)), bytes);
+  }
+  const std::string whole = read_fixture(frame_fixture("head_kind_1"));
+  const auto decodes = [](const std::string& bytes) {
+    ByteReader reader(bytes);
+    FrameHead head;
+    return decode_head(reader, head);
+  };
+  expect_prefixes_refused("head", whole, decodes);
+  for (std::size_t place = 0; place < 8; ++place) {
+    std::string foreign = whole;
+    foreign[place] = static_cast<char>(foreign[place] ^ 1);
+    cr_expect(!decodes(foreign), "protocol number, byte %zu", place);
+  }
+  decode_random_bytes({}, whole, decodes);
+}
