--- a/tests/database_stage.h
+++ b/tests/database_stage.h
@@ -133,6 +133,7 @@
     std::unique_ptr<Session> session;
     std::vector<WireMessage> heard;
     std::string bytes;
+    std::string told;  // all bytes since its start
     bool is_closed = false;
     Moment due = Moment::max();
     const WireMessage& last() const { return heard.back(); }
@@ -184,6 +185,7 @@
   void say(Session& session, std::string bytes) override {
     Client& client = *clients_[&session];
     client.bytes += bytes;
+    client.told += bytes;
     for (WireMessage message; read_wire(client.bytes, message) == WireStep::done;) client.heard.push_back(message);
   }
   void close(Session& session) override { clients_[&session]->is_closed = true; }
@@ -197,6 +199,7 @@
   LogPlace after;
   bool has_hold = true;
   int most = 1, last_try = 0, opened = 0;
+  std::string asked;  // all bytes to databases, in their order
 
  private:
   struct Link final : LaneLink {
@@ -204,6 +207,7 @@
     ~Link() override { stage.links_[place] = nullptr; }
     bool send(const std::string& bytes) override {
       if (connection.is_gone) return false;
+      stage.asked += bytes;
       out += stage.databases[lane.backend().id].take(connection, bytes, is_cut);
       return true;
     }
