--- a/src/broker/broker_loop.h
+++ b/src/broker/broker_loop.h
@@ -8,11 +8,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "control_client/control_plane_client.h"
+#include "coordination/routing/delegated_gather.h"
 #include "coordination/routing/alerts.h"
 #include "coordination/routing/bulkhead.h"
-#include "coordination/routing/delegated_gather.h"
 #include "coordination/routing/proxied_request.h"
+#include "control_client/control_plane_client.h"
 #include "transport/http_client_connection.h"
 #include "transport/http_server.h"
 
--- a/src/broker/broker_program.cpp
+++ b/src/broker/broker_program.cpp
@@ -3,9 +3,9 @@
 
 #include <random>
 
-#include "broker/broker_loop.h"
 #include "commands/commands.h"
 #include "process/signals.h"
+#include "broker/broker_loop.h"
 
 namespace saddlewing {
 
--- a/src/commands/edges.cpp
+++ b/src/commands/edges.cpp
@@ -4,8 +4,8 @@
 #include <cstdio>
 #include <iostream>
 
-#include "commands/commands.h"
 #include "commands/operator_client.h"
+#include "commands/commands.h"
 #include "state/node_settings.h"
 
 namespace saddlewing {
--- a/src/commands/ring.cpp
+++ b/src/commands/ring.cpp
@@ -6,8 +6,8 @@
 #include <iostream>
 #include <sstream>
 
-#include "commands/commands.h"
 #include "commands/operator_client.h"
+#include "commands/commands.h"
 #include "protocol/frames.h"
 #include "state/hash_ring.h"
 #include "state/node_settings.h"
--- a/src/coordination/routing/proxied_request.h
+++ b/src/coordination/routing/proxied_request.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "coordination/routing/record_merge.h"
 #include "coordination/routing/requester.h"
 #include "coordination/routing/retry_budget.h"
+#include "coordination/routing/record_merge.h"
 #include "protocol/frames.h"
 
 namespace saddlewing {
--- a/src/pooler/pooler_loop.h
+++ b/src/pooler/pooler_loop.h
@@ -8,11 +8,11 @@
 #include <thread>
 #include <unordered_map>
 
-#include "control_client/control_plane_client.h"
-#include "coordination/databases/database_session.h"
 #include "coordination/databases/log_position_samples.h"
-#include "transport/database_transport.h"
+#include "coordination/databases/database_session.h"
+#include "control_client/control_plane_client.h"
 #include "transport/http_server.h"
+#include "transport/database_transport.h"
 
 namespace saddlewing {
 
--- a/src/pooler/pooler_program.cpp
+++ b/src/pooler/pooler_program.cpp
@@ -3,8 +3,8 @@
 
 #include <random>
 
-#include "commands/commands.h"
 #include "pooler/pooler_loop.h"
+#include "commands/commands.h"
 #include "process/signals.h"
 
 namespace saddlewing {
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "state/compression.h"
 #include "state/metrics.h"
+#include "state/compression.h"
 
 namespace saddlewing {
 namespace {
--- a/src/registry/events.h
+++ b/src/registry/events.h
@@ -6,9 +6,9 @@
 #include <variant>
 #include <vector>
 
+#include "coordination/raft/raft_node.h"
 #include "coordination/discovery/service_registry.h"
 #include "coordination/placement/shard_migration.h"
-#include "coordination/raft/raft_node.h"
 #include "protocol/database_protocol.h"
 #include "state/types.h"
 #include "transport/bounded_queue.h"
--- a/src/registry/storage_thread.h
+++ b/src/registry/storage_thread.h
@@ -7,8 +7,8 @@
 #include <thread>
 
 #include "registry/events.h"
-#include "state/durable_store.h"
 #include "state/metrics.h"
+#include "state/durable_store.h"
 
 namespace saddlewing {
 
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -6,8 +6,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "transport/http_message.h"
 #include "transport/tcp_connection.h"
+#include "transport/http_message.h"
 #include "transport/timer_queue.h"
 
 namespace saddlewing {
--- a/tests/coordination/databases/database_fixture.h
+++ b/tests/coordination/databases/database_fixture.h
@@ -177,6 +177,7 @@
     std::unique_ptr<Session> session;
     std::vector<WireMessage> last_contact;
     std::string bytes;
+    std::string told;  // all bytes since its start
     bool is_closed = false;
     TimePoint due = TimePoint::max();
     const WireMessage& last() const {
@@ -251,6 +252,7 @@
   void say(Session& session, std::string bytes) override {
     Client& client = *clients_[&session];
     client.bytes += bytes;
+    client.told += bytes;
     for (WireMessage message; read_wire(client.bytes, message) == WireStep::done;)
       client.last_contact.push_back(message);
   }
@@ -273,6 +275,7 @@
   LogPosition after;
   bool has_lease = true;
   int limit = 1, last_try = 0, opened = 0;
+  std::string asked;  // all bytes to databases, in their order
 
  private:
   struct Link final : DatabaseConnectionLink {
@@ -286,6 +289,7 @@
     bool send(const std::string& bytes) override {
       if (connection.is_gone)
         return false;
+      stage.asked += bytes;
       out += stage.databases[database_connection.backend().id].take(connection, bytes, is_cut);
       return true;
     }
--- a/tests/coordination/leases/term_fence_test.cpp
+++ b/tests/coordination/leases/term_fence_test.cpp
@@ -4,10 +4,10 @@
 
 #include <optional>
 
+#include "coordination/raft/raft_cluster_fixture.h"
 #include "coordination/discovery/control_source_selector.h"
-#include "coordination/leases/lease_table.h"
 #include "coordination/leases/retry_quota.h"
-#include "coordination/raft/raft_cluster_fixture.h"
+#include "coordination/leases/lease_table.h"
 #include "coordination/rollout/version_rollout.h"
 
 using namespace saddlewing;
--- a/tests/coordination/placement/shard_migration_scenario.h
+++ b/tests/coordination/placement/shard_migration_scenario.h
@@ -8,8 +8,8 @@
 #include <array>
 #include <set>
 
-#include "coordination/placement/shard_node_fixture.h"
 #include "coordination/routing/bulkhead.h"
+#include "coordination/placement/shard_node_fixture.h"
 
 namespace saddlewing::tests {
 
--- a/tests/coordination/raft/pending_calls_test.cpp
+++ b/tests/coordination/raft/pending_calls_test.cpp
@@ -2,8 +2,8 @@
 #include <criterion/criterion.h>
 #include <json/json.h>
 
-#include "coordination/raft/pending_calls.h"
 #include "coordination/raft/raft_cluster_fixture.h"
+#include "coordination/raft/pending_calls.h"
 #include "state/node_settings.h"
 #include "transport/http_client_connection.h"
 #include "transport/http_server.h"
--- a/tools/capacity.cpp
+++ b/tools/capacity.cpp
@@ -17,11 +17,11 @@
 #include <sstream>
 
 #include "coordination/routing/edge_latency.h"
-#include "protocol/frames.h"
 #include "protocol/http_calls.h"
+#include "protocol/frames.h"
 #include "state/compression.h"
-#include "transport/frame_link.h"
 #include "transport/http_client_connection.h"
+#include "transport/frame_link.h"
 #include "transport/http_server.h"
 
 using namespace saddlewing;
--- a/tools/model_nodes.cpp
+++ b/tools/model_nodes.cpp
@@ -196,6 +196,16 @@
   }(const_cast<Entry&>(*persistent.entry));
 }
 
+// A planted fault: the lead is handed over, and the leader goes on as if it had not been.
+void World::transfer_and_lead_on(Node& node) {
+  flush(node);
+  const RaftNode leading = *node.raft;
+  node.raft->transfer(local(node));
+  flush(node);
+  *node.raft = leading;
+  turn_node(node);
+}
+
 void World::turn_node(Node& node) {
   const TimePoint now = local(node);
   node.raft->tick(now);
@@ -247,6 +257,7 @@
   const RaftNode& raft = *node.raft;
   if (raft.is_leader())
     ledger_.lead(raft.term(), raft.self(), node.incarnation);
+  check_lease(node);
   const EntrySnapshot& committed = raft.committed();
   if (!committed || committed == node.noted)
     return;
@@ -269,6 +280,20 @@
     node.rollout->commit(committed->version, local(node));
 }
 
+// A lease begins with what comes to its holder, so the later of two is seen here. A frozen holder
+// counts too: thawed, it acts by it.
+void World::check_lease(const Node& node) {
+  if (!node.raft->is_leased(local(node)))
+    return;
+  const auto name = [](const Node& holder) {
+    return "registry " + std::to_string(holder.number) + " (term " +
+           std::to_string(holder.raft->term().value) + ")";
+  };
+  for (const auto& [number, other] : nodes_)
+    if (other.get() != &node && other->is_up && other->raft->is_leased(local(*other)))
+      fail("one leader under a lease", name(node) + " is under a lease, and so is " + name(*other));
+}
+
 void World::take(Node& node, int from, Content& content) {
   if (RaftMessage* message = std::get_if<RaftMessage>(&content))
     return receive(node, from, *message);
--- a/tools/model_walk.cpp
+++ b/tools/model_walk.cpp
@@ -27,7 +27,8 @@
                                          "wiped-under-old-id",
                                          "grant-twice",
                                          "lease-without-settling",
-                                         "in-force-uncommitted"};
+                                         "in-force-uncommitted",
+                                         "lead-kept-after-transfer"};
 constexpr const char* act_names[] = {
     "stop",   "start",       "leave",        "power",         "freeze",     "thaw",
     "cut",    "mend",        "cut-link",     "mend-link",     "disk",       "wipe",
@@ -49,7 +50,8 @@
                                           "one leader a term|committed stays|acknowledged stays",
                                           "grants within the whole",
                                           "leases never overlap",
-                                          "in force is committed"};
+                                          "in force is committed",
+                                          "one leader under a lease"};
 static_assert(std::size(planted_checks) == planted_count &&
               std::size(planted_names) == planted_count && std::size(act_names) == act_count);
 
--- a/tools/model_world.cpp
+++ b/tools/model_world.cpp
@@ -113,6 +113,8 @@
       to->held.push_back(std::move(event));
     else if (event.kind == Event::Kind::follow)
       push(now_ + 400'000, event.kind, 0, event.to, event.incarnation, {});
+    else if (event.kind == Event::Kind::wake)
+      nodes_[event.to]->wake_at = -1;  // else no wake would follow the thaw
     return;
   }
   if (const auto found = brokers_.find(event.to); found != brokers_.end()) {
@@ -198,6 +200,10 @@
     case Act::leave:
       if (!node.is_up || node.is_frozen)
         break;
+      if (walk_.setup.planted == Planted::lead_kept_after_transfer && node.raft->is_leader()) {
+        transfer_and_lead_on(node);
+        break;
+      }
       [&](auto& raft) {
         if constexpr (requires { raft.leave(TimePoint{}); })
           raft.leave(local(node));
--- a/tools/model_world.h
+++ b/tools/model_world.h
@@ -7,9 +7,9 @@
 #include <ostream>
 #include <variant>
 
-#include "coordination/leases/lease_table.h"
-#include "coordination/leases/retry_quota.h"
 #include "coordination/raft/raft_node.h"
+#include "coordination/leases/retry_quota.h"
+#include "coordination/leases/lease_table.h"
 #include "coordination/rollout/version_rollout.h"
 #include "model_checks.h"
 #include "model_walk.h"
@@ -160,6 +160,7 @@
   void begin_save(Node& node, RaftNode::Save save);
   void end_save(Node& node, std::uint64_t serial);
   void observe(Node& node);
+  void check_lease(const Node& node);
   void take(Node& node, int from, Content& content);
   void receive(Node& node, int from, RaftMessage& message);
   void begin_call(Node& node, bool is_read, std::int64_t version);
@@ -167,6 +168,7 @@
   void finish_call(Node& node, std::uint64_t token, bool is_done, Version version,
                    const std::string& body);
   void plant_in_entry(Node& node, const PersistentState& persistent);
+  void transfer_and_lead_on(Node& node);
   std::vector<std::string> contacts() const;
 
   // model_brokers.cpp
