--- a/src/broker/backend_connection.cpp
+++ b/src/broker/backend_connection.cpp
@@ -142,7 +142,9 @@
 }
 
 void BackendConnection::read_load(const Poco::Net::HTTPResponse& response, TimePoint now) {
-  int running = 0, waiting = 0, slots = 0;
+  int running = 0;
+  int waiting = 0;
+  int slots = 0;
   if (std::sscanf(response.get(field::server_load, "").c_str(), "%d,%d,%d", &running, &waiting,
                   &slots) != 3)
     return;
--- a/src/broker/broker_delegated_gather.cpp
+++ b/src/broker/broker_delegated_gather.cpp
@@ -22,7 +22,7 @@
   return {};
 }
 
-bool BrokerLoop::is_near(const Backend& backend, const std::string& region, TimePoint now) const {
+bool BrokerLoop::is_near(const Backend& backend, const std::string& region, TimePoint now) {
   return !backend.is_cancelled && backend.status == Status::up && backend.region == region &&
          !backend.breaker.is_open(now);
 }
--- a/src/broker/broker_loop.cpp
+++ b/src/broker/broker_loop.cpp
@@ -298,7 +298,7 @@
 }
 
 std::string BrokerLoop::head_for(const RequestContext& context, const Backend& backend,
-                                 TimePoint now) const {
+                                 TimePoint now) {
   const auto left = std::max<std::int64_t>(1, elapsed(now, context.requester->deadline()).count());
   std::string head = context.head_start + field::time_left + ": " + std::to_string(left) + "\r\n" +
                      field::meant_server + ": " + backend.id + "\r\n";
--- a/src/broker/broker_loop.h
+++ b/src/broker/broker_loop.h
@@ -8,11 +8,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/routing/delegated_gather.h"
+#include "control_client/control_plane_client.h"
 #include "coordination/routing/alerts.h"
 #include "coordination/routing/bulkhead.h"
+#include "coordination/routing/delegated_gather.h"
 #include "coordination/routing/proxied_request.h"
-#include "control_client/control_plane_client.h"
 #include "transport/http_client_connection.h"
 #include "transport/http_server.h"
 
@@ -185,10 +185,10 @@
   void take_ring(RingNews news, TimePoint now);
   void leave_place(const RequestContext& context, TimePoint now);
   void report_ring();
-  bool is_near(const Backend& backend, const std::string& region, TimePoint now) const;
+  static bool is_near(const Backend& backend, const std::string& region, TimePoint now);
   void end_context(const Requester* requester);
   void arrange(RequestContext& context);
-  std::string head_for(const RequestContext& context, const Backend& backend, TimePoint now) const;
+  static std::string head_for(const RequestContext& context, const Backend& backend, TimePoint now);
   bool is_ready() const {
     return view_->is_ready && !is_leaving_;
   }
--- a/src/commands/cluster_status.cpp
+++ b/src/commands/cluster_status.cpp
@@ -78,7 +78,7 @@
 }
 
 Json::Value numbered(std::uint64_t value) {
-  return Json::Value(static_cast<Json::UInt64>(value));
+  return {static_cast<Json::UInt64>(value)};
 }
 
 Json::Value json_of(const std::string& contact, const ClusterStatus& status) {
@@ -155,7 +155,8 @@
   std::printf("\n  voters wanted: %u\n  %-24s %-8s %-21s %10s  %s\n", status.core_size, "address",
               "member", "id", "heard ms", "state");
   for (const ClusterStatus::Peer& peer : status.peers) {
-    std::string state = "-", last_contact = "-";
+    std::string state = "-";
+    std::string last_contact = "-";
     if (status.role == ClusterStatus::Role::leader && peer.is_known) {
       last_contact = std::to_string(peer.last_contact);
       state = peer.is_matched ? "matched"
@@ -174,7 +175,8 @@
 
 int run_cluster_status(const std::vector<std::string>& contacts, bool is_json, int wait_ms) {
   const std::map<std::string, ClusterStatus> found = ask(contacts, Duration(wait_ms));
-  bool is_any_silent = false, is_any_alone = false;
+  bool is_any_silent = false;
+  bool is_any_alone = false;
   Json::Value root(Json::objectValue);
   root["registries"] = Json::Value(Json::arrayValue);
   root["silent"] = Json::Value(Json::arrayValue);
--- a/src/coordination/databases/connection_pool.cpp
+++ b/src/coordination/databases/connection_pool.cpp
@@ -1,6 +1,7 @@
 #include "coordination/databases/connection_pool.h"
 
 #include <algorithm>
+#include <ranges>
 
 namespace saddlewing {
 
@@ -10,8 +11,8 @@
   row.limit = std::max(1, limit);
   DatabaseConnection* best = nullptr;
   int minimum = 0;
-  for (auto position = row.connections.rbegin(); position != row.connections.rend(); ++position) {
-    DatabaseConnection& connection = **position;
+  for (const auto& pooled : std::ranges::reverse_view(row.connections)) {
+    DatabaseConnection& connection = *pooled;
     if (connection.state() != DatabaseConnection::State::resting)
       continue;
     const int distance = connection.distance(seeker.wanted_values());
--- a/src/coordination/databases/database_connection.cpp
+++ b/src/coordination/databases/database_connection.cpp
@@ -157,7 +157,7 @@
   finish(std::move(expected), now);
 }
 
-void DatabaseConnection::finish(Expected expected, TimePoint now) {
+void DatabaseConnection::finish(const Expected& expected, TimePoint now) {
   if (expected.what == Awaited::ask)
     return finish_ask(now);
   const Verdict verdict = outcome_.verdict;
--- a/src/coordination/databases/database_connection.h
+++ b/src/coordination/databases/database_connection.h
@@ -129,7 +129,7 @@
   };
   void expect(Awaited what, const std::string& text, std::string first = {},
               std::string second = {});
-  void finish(Expected expected, TimePoint now);
+  void finish(const Expected& expected, TimePoint now);
   void finish_ask(TimePoint now);
   void fail(Verdict why);
 
--- a/src/coordination/databases/failover.cpp
+++ b/src/coordination/databases/failover.cpp
@@ -44,7 +44,8 @@
 }
 
 bool Failover::is_given_up(std::size_t position, TimePoint now, bool& is_unseen) const {
-  std::size_t failing = 0, fine = 0;
+  std::size_t failing = 0;
+  std::size_t fine = 0;
   std::set<std::string> zones;
   for (const auto& [from, witness] : witnesses_) {
     if (witness.revision != table_.revision || now - witness.told > fresh_evidence)
@@ -116,7 +117,8 @@
     return found(service, seats);
   Case& at = cases_[service];
   if (at.number != lead->number) {
-    const bool was_promoted = at.was_promoted, is_asking = at.is_asking;
+    const bool was_promoted = at.was_promoted;
+    const bool is_asking = at.is_asking;
     const TimePoint promoted = at.promoted;
     at = {};
     at.number = lead->number;
@@ -234,7 +236,8 @@
   // Somebody leads a later term already: a call of ours took effect.
   const DatabaseEndpoint* best = nullptr;
   DatabaseStatus best_status;
-  std::size_t copies = 0, answered = 0;
+  std::size_t copies = 0;
+  std::size_t answered = 0;
   for (const DatabaseEndpoint* seat : seats) {
     if (seat->id == lead.id)
       continue;
--- a/src/coordination/placement/ring_load_monitor.cpp
+++ b/src/coordination/placement/ring_load_monitor.cpp
@@ -92,7 +92,7 @@
     load.busy_ms = static_cast<double>(reader.number()) / 1000;
     load.bytes = static_cast<double>(reader.number());
     if (reader.is_good())
-      loads.push_back({virtual_node, load});
+      loads.emplace_back(virtual_node, load);
   }
   return reader.is_good();
 }
@@ -153,7 +153,7 @@
     load.busy_ms = static_cast<double>(reader.number()) / 1000;
     load.bytes = static_cast<double>(reader.number());
     if (reader.is_good() && is_account_form(account))
-      loads.push_back({std::move(account), load});
+      loads.emplace_back(std::move(account), load);
   }
   return reader.is_good();
 }
@@ -165,7 +165,8 @@
 
 double move_cost(const RingMap& ring, const RingUnit& unit, std::size_t from, std::size_t to,
                  const WatchOptions& options) {
-  const RingNode &giver = ring.nodes[from], &taker = ring.nodes[to];
+  const RingNode& giver = ring.nodes[from];
+  const RingNode& taker = ring.nodes[to];
   const bool is_same_region = !giver.region.empty() && giver.region == taker.region;
   const double distance = giver.zone == taker.zone ? 1
                           : is_same_region         ? options.distance_zone
@@ -182,7 +183,9 @@
   report.accounts = accounts;
   const std::size_t count = ring.nodes.size();
   std::vector<double> busy(count);
-  double weights = 0, sum = 0, attempts = 0;
+  double weights = 0;
+  double sum = 0;
+  double attempts = 0;
   for (const RingNode& node : ring.nodes) {
     report.nodes.push_back({node.name, {}, 0, 0, 0, false});
     weights += node.weight;
@@ -231,7 +234,7 @@
     report.nodes[index].share = share_of(index);
   report.is_enough = attempts >= options_.min_attempts;
   if (!report.is_enough) {
-    report.remarks.push_back("too few askings to judge by");
+    report.remarks.emplace_back("too few askings to judge by");
     return report;
   }
   // Above the bound by more than chance explains; and until it is well under it again.
@@ -246,7 +249,8 @@
   }
   over_ = over;
 
-  std::vector<double> memory(count), disk(count);
+  std::vector<double> memory(count);
+  std::vector<double> disk(count);
   for (std::size_t index = 0; index < count; ++index)
     memory[index] = report.nodes[index].memory_mb, disk[index] = report.nodes[index].disk_mb;
   for (;;) {
@@ -267,7 +271,8 @@
     double best_worth = 0;
     Candidate* best = nullptr;
     std::size_t best_to = count;
-    bool has_load = false, has_room = false;
+    bool has_load = false;
+    bool has_room = false;
     for (Candidate& candidate : candidates) {
       if (candidate.owner != from || candidate.is_taken || candidate.load.busy_ms <= 0)
         continue;
@@ -322,7 +327,7 @@
     report.proposals.push_back(std::move(proposal));
   }
   if (report.proposals.empty() && report.is_balanced())
-    report.remarks.push_back("no node carries too much");
+    report.remarks.emplace_back("no node carries too much");
   return report;
 }
 
--- a/src/coordination/placement/shard_migration.cpp
+++ b/src/coordination/placement/shard_migration.cpp
@@ -86,13 +86,16 @@
 // What the taker has and what other open moves will bring it must leave room.
 std::string ShardMigration::find_room(const RingUnit& unit, std::size_t taker, const RingMap& ring,
                                       std::uint64_t but) const {
-  auto [memory, disk] = ring.used_of(taker);
+  const auto used = ring.used_of(taker);
+  double memory = used.first;
+  double disk = used.second;
   const auto add = [&](const RingMove& move) {
     if (!move.is_open() || move.to != ring.nodes[taker].name || (move.id && move.id == but) ||
         ring.owner_of(move.unit) == taker)
       return;
     const auto [more_memory, more_disk] = ring.size_of(move.unit);
-    memory += more_memory, disk += more_disk;
+    memory += more_memory;
+    disk += more_disk;
   };
   for (const RingMove& move : moves_)
     add(move);
@@ -132,8 +135,10 @@
   for (const std::string& node : {wanted.from, to})
     if (!serving.contains(node))
       return node + " is emptying or silent";
-  std::size_t open = 0, placed = ring.placed.size();
-  bool is_moving = false, is_busy = false;
+  std::size_t open = 0;
+  std::size_t placed = ring.placed.size();
+  bool is_moving = false;
+  bool is_busy = false;
   const auto look = [&](const RingMove& move) {
     if (!move.is_open())
       return;
@@ -260,7 +265,8 @@
       work.position.reset();
       if (!order(move, move.from, "open", 0, now))
         return;
-      const std::size_t from = ring.index_of(move.from), to = ring.index_of(move.to);
+      const std::size_t from = ring.index_of(move.from);
+      const std::size_t to = ring.index_of(move.to);
       if (from == ring.nodes.size() || to == ring.nodes.size())
         return set_step(move, Step::undone, "the ring has changed");
       const double pace = std::min({ring.nodes[from].disk_mb_s, ring.nodes[to].disk_mb_s,
--- a/src/coordination/routing/alerts.cpp
+++ b/src/coordination/routing/alerts.cpp
@@ -62,7 +62,7 @@
     return "for is not a span such as 5s";
   if (const YAML::Node labels = node["labels"];
       labels && labels.IsMap() && labels["refuse_from_rank"]) {
-    const std::string rank = labels["refuse_from_rank"].as<std::string>();
+    const auto rank = labels["refuse_from_rank"].as<std::string>();
     if (rank.empty() || rank.size() > 4 ||
         rank.find_first_not_of("0123456789") != std::string::npos)
       return "labels.refuse_from_rank is not a rank";
--- a/src/coordination/routing/delegated_gather.h
+++ b/src/coordination/routing/delegated_gather.h
@@ -6,8 +6,8 @@
 // client asked.
 #include <vector>
 
-#include "coordination/routing/requester.h"
 #include "coordination/routing/record_merge.h"
+#include "coordination/routing/requester.h"
 #include "protocol/frames.h"
 
 namespace saddlewing {
@@ -29,9 +29,9 @@
 
   void start(TimePoint now);
   void on_due(TimePoint now) override;
-  void handle_response(std::size_t part, BackendResponse outcome, Duration took,
+  void handle_response(std::size_t index, BackendResponse response, Duration took,
                        TimePoint now) override;
-  void handle_failure(std::size_t part, ErrorCode kind, bool may_have_run, TimePoint now) override;
+  void handle_failure(std::size_t index, ErrorCode kind, bool may_have_run, TimePoint now) override;
   TimePoint deadline() const override {
     return deadline_;
   }
--- a/src/coordination/routing/edge_latency.cpp
+++ b/src/coordination/routing/edge_latency.cpp
@@ -146,15 +146,20 @@
     return std::uint64_t{0};
   };
   while (at < cells.size()) {
-    const std::uint64_t service = get(), zone = get(), kind = get(), failures = get(), busy = get(),
-                        buckets = get();
+    const std::uint64_t service = get();
+    const std::uint64_t zone = get();
+    const std::uint64_t kind = get();
+    const std::uint64_t failures = get();
+    const std::uint64_t busy = get();
+    const std::uint64_t buckets = get();
     if (!is_good || service >= names.size() || zone >= names.size() || kind > 1 ||
         buckets > edge_buckets || rows.size() >= limit)
       return false;
     EdgeCount count;
     std::uint64_t sum = 0;
     for (std::uint64_t left = buckets; left > 0; --left) {
-      const std::uint64_t bucket = get(), times = get();
+      const std::uint64_t bucket = get();
+      const std::uint64_t times = get();
       if (!is_good || bucket >= edge_buckets || times == 0 || times > max_counted ||
           count.times[bucket])
         return false;
@@ -250,8 +255,8 @@
 }
 
 double EdgeSelector::influence(TimePoint now) const {
-  const double silent = std::chrono::duration<double, std::milli>(now - heard_).count(),
-               fade = static_cast<double>(options_.fade.count());
+  const double silent = std::chrono::duration<double, std::milli>(now - heard_).count();
+  const double fade = static_cast<double>(options_.fade.count());
   return std::clamp(2 - 2 * silent / fade, 0.0, 1.0);
 }
 
--- a/src/coordination/routing/edge_latency_aggregator.cpp
+++ b/src/coordination/routing/edge_latency_aggregator.cpp
@@ -27,9 +27,9 @@
 double EdgeLatencyAggregator::Cell::slots(Duration half_life, TimePoint now) const {
   if (began == TimePoint{} || now <= began)
     return 0;
-  const double incarnation = static_cast<double>(half_life.count()),
-               age = std::chrono::duration<double, std::milli>(now - began).count();
-  return busy_ms * std::log(2) / incarnation / (1 - std::exp2(-age / incarnation));
+  const auto half_life_ms = static_cast<double>(half_life.count());
+  const double age = std::chrono::duration<double, std::milli>(now - began).count();
+  return busy_ms * std::log(2) / half_life_ms / (1 - std::exp2(-age / half_life_ms));
 }
 
 void EdgeLatencyAggregator::Cell::clear(TimePoint now) {
@@ -162,7 +162,8 @@
         score(position, zone, is_avoided ? options_.min_trials : options_.min_samples);
     if (!mine.is_known || now - own.since < options_.min_stay * (1 << own.flaps))
       continue;
-    double best = 0, room = 0;
+    double best = 0;
+    double room = 0;
     std::size_t others = 0;
     for (const auto& [other, other_cells] : zones) {
       if (other == zone || standings[other].verdict == Verdict::avoided)
--- a/src/coordination/routing/load_balancer.cpp
+++ b/src/coordination/routing/load_balancer.cpp
@@ -93,7 +93,8 @@
                               const std::vector<const Backend*>& tried, int max_connections,
                               TimePoint now, const PickConstraints& wish) {
   PickResult result;
-  Backend *best = nullptr, *min_broken = nullptr;
+  Backend* best = nullptr;
+  Backend* soonest_retry = nullptr;
   double best_cost = 0;
   int best_class = 0;
   bool has_to_wait = false;
@@ -113,8 +114,8 @@
       continue;
     }
     if (backend.breaker.is_open(now)) {
-      if (!min_broken || backend.breaker.until() < min_broken->breaker.until())
-        min_broken = &backend;
+      if (!soonest_retry || backend.breaker.until() < soonest_retry->breaker.until())
+        soonest_retry = &backend;
       continue;
     }
     const int rank = backend.status == Status::up ? 1 : 0;
@@ -127,7 +128,7 @@
     }
   }
   // Breakers alone never empty a shard.
-  result.backend = best || has_to_wait ? best : min_broken;
+  result.backend = best || has_to_wait ? best : soonest_retry;
   if (result.backend && result.backend->is_avoided)
     result.backend->trial_due = now + trial_pause;
   if (result.backend && result.backend->breaker.is_on_trial(now))
--- a/src/coordination/routing/proxied_request.cpp
+++ b/src/coordination/routing/proxied_request.cpp
@@ -172,7 +172,7 @@
     worst_ = kind;
 }
 
-void ProxiedRequest::handle_response(std::size_t index, BackendResponse outcome, Duration took,
+void ProxiedRequest::handle_response(std::size_t index, BackendResponse response, Duration took,
                                      TimePoint now) {
   if (!is_open())
     return;
@@ -180,8 +180,9 @@
   --part.active;
   if (part.is_done || part.is_failed)
     return;
-  const bool is_success = outcome.status >= 200 && outcome.status < 300 && !outcome.is_not_run;
-  if (!outcome.is_not_run)
+  const bool is_not_run = response.is_not_run;
+  const bool is_success = response.status >= 200 && response.status < 300 && !is_not_run;
+  if (!is_not_run)
     has_run_ = true;
   else
     ++part.refused;
@@ -191,32 +192,32 @@
     part.is_done = true;
     ++done_;
     if (!is_gathering())
-      return finish({ErrorCode::none, outcome.status, std::move(outcome.reason),
-                     std::move(outcome.fields), std::move(outcome.body), Duration(0)},
+      return finish({ErrorCode::none, response.status, std::move(response.reason),
+                     std::move(response.fields), std::move(response.body), Duration(0)},
                     now);
-    part.seal = std::move(outcome.seal);
-    best_.add(outcome.body);
+    part.seal = std::move(response.seal);
+    best_.add(response.body);
     return consider(now);
   }
   // Passed on, its status would promise the client that it has not run and never will.
-  if (!route_.is_harmless && !outcome.is_not_run && is_promise(outcome.status)) {
+  if (!route_.is_harmless && !response.is_not_run && is_promise(response.status)) {
     fail_part(part, ErrorCode::broke_off, now);
     return consider(now);
   }
-  if (!is_gathering() && !outcome.is_not_run) {
+  if (!is_gathering() && !response.is_not_run) {
     // A client's own mistake (4xx) is the same everywhere; only a backend's failure is worth
     // another.
-    if (outcome.status < 500 || !route_.is_harmless)
-      return finish({ErrorCode::none, outcome.status, std::move(outcome.reason),
-                     std::move(outcome.fields), std::move(outcome.body), Duration(0)},
+    if (response.status < 500 || !route_.is_harmless)
+      return finish({ErrorCode::none, response.status, std::move(response.reason),
+                     std::move(response.fields), std::move(response.body), Duration(0)},
                     now);
-    last_ = std::make_unique<BackendResponse>(std::move(outcome));
+    last_ = std::make_unique<BackendResponse>(std::move(response));
   }
   if (!part.active) {
     if (may_ask_again(part))
       ask(index, false, now);
     else
-      fail_part(part, outcome.is_not_run ? ErrorCode::turned_away : ErrorCode::garbled, now);
+      fail_part(part, is_not_run ? ErrorCode::turned_away : ErrorCode::garbled, now);
   }
   if (is_open())
     consider(now);
@@ -230,8 +231,10 @@
   --part.active;
   if (may_have_run)
     has_run_ = true;
-  else
-    --part.sent, ++part.missed;
+  else {
+    --part.sent;
+    ++part.missed;
+  }
   if (part.is_done || part.is_failed)
     return;
   if (may_have_run && !route_.is_harmless)
--- a/src/coordination/routing/proxied_request.h
+++ b/src/coordination/routing/proxied_request.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
+#include "coordination/routing/record_merge.h"
 #include "coordination/routing/requester.h"
 #include "coordination/routing/retry_budget.h"
-#include "coordination/routing/record_merge.h"
 #include "protocol/frames.h"
 
 namespace saddlewing {
@@ -79,9 +79,9 @@
     is_waiting_turn_ = false;
     due_ = now;
   }
-  void handle_response(std::size_t part, BackendResponse outcome, Duration took,
+  void handle_response(std::size_t index, BackendResponse response, Duration took,
                        TimePoint now) override;
-  void handle_failure(std::size_t part, ErrorCode kind, bool may_have_run, TimePoint now) override;
+  void handle_failure(std::size_t index, ErrorCode kind, bool may_have_run, TimePoint now) override;
   void handle_gather_result(GatherResult aided, Duration took, TimePoint now);
   void lose_delegation(bool may_have_run, TimePoint now);  // nothing more comes of it
   void abandon() {
--- a/src/coordination/routing/record_merge.h
+++ b/src/coordination/routing/record_merge.h
@@ -53,7 +53,8 @@
     return {swap(record.high), swap(record.low)};
   }
   static void write(const Record& record, char* bytes) {
-    const std::uint64_t high = swap(record.high), low = swap(record.low);
+    const std::uint64_t high = swap(record.high);
+    const std::uint64_t low = swap(record.low);
     std::memcpy(bytes, &high, 8);
     std::memcpy(bytes + 8, &low, 8);
   }
--- a/src/coordination/routing/requester.h
+++ b/src/coordination/routing/requester.h
@@ -32,9 +32,9 @@
 class Requester {
  public:
   virtual ~Requester() = default;
-  virtual void handle_response(std::size_t part, BackendResponse outcome, Duration took,
+  virtual void handle_response(std::size_t index, BackendResponse response, Duration took,
                                TimePoint now) = 0;
-  virtual void handle_failure(std::size_t part, ErrorCode kind, bool may_have_run,
+  virtual void handle_failure(std::size_t index, ErrorCode kind, bool may_have_run,
                               TimePoint now) = 0;
   virtual TimePoint deadline() const = 0;
   virtual bool is_gathering() const = 0;  // then reason and fields are of no use to it
--- a/src/pooler/pooler_loop.cpp
+++ b/src/pooler/pooler_loop.cpp
@@ -3,6 +3,7 @@
 #include <glog/logging.h>
 
 #include <algorithm>
+#include <utility>
 
 #include "protocol/http_calls.h"
 #include "state/metrics.h"
@@ -63,8 +64,8 @@
                                   }}) {
 }
 
-PoolerLoop::PoolerLoop(const NodeSettings& settings)
-    : settings_(settings),
+PoolerLoop::PoolerLoop(NodeSettings settings)
+    : settings_(std::move(settings)),
       readiness_(*this),
       ready_server_(poller_, timers_, readiness_, 64, 1 << 20),
       door_(*this),
--- a/src/pooler/pooler_loop.h
+++ b/src/pooler/pooler_loop.h
@@ -8,17 +8,17 @@
 #include <thread>
 #include <unordered_map>
 
-#include "coordination/databases/log_position_samples.h"
-#include "coordination/databases/database_session.h"
 #include "control_client/control_plane_client.h"
-#include "transport/http_server.h"
+#include "coordination/databases/database_session.h"
+#include "coordination/databases/log_position_samples.h"
 #include "transport/database_transport.h"
+#include "transport/http_server.h"
 
 namespace saddlewing {
 
 class PoolerLoop final : public SessionContext {
  public:
-  explicit PoolerLoop(const NodeSettings& settings);
+  explicit PoolerLoop(NodeSettings settings);
   Error open();
   void start() {
     thread_ = std::thread([this] { run(); });
--- a/src/pooler/pooler_program.cpp
+++ b/src/pooler/pooler_program.cpp
@@ -3,8 +3,8 @@
 
 #include <random>
 
-#include "pooler/pooler_loop.h"
 #include "commands/commands.h"
+#include "pooler/pooler_loop.h"
 #include "process/signals.h"
 
 namespace saddlewing {
@@ -21,7 +21,7 @@
   PoolerLoop pooling(settings);
   ControlPlaneClient follower(
       settings, incarnation, [&pooling](ViewSnapshot view) { pooling.show(std::move(view)); },
-      [](DelegationEvent) {});
+      [](const DelegationEvent&) {});
   follower.set_pooler([&pooling](LeadershipUpdate news) { pooling.lease(std::move(news)); },
                       [&pooling](SampleNews news) { pooling.sample(std::move(news)); });
   pooling.set_follower(follower);
--- a/src/process/signals.h
+++ b/src/process/signals.h
@@ -43,7 +43,7 @@
     if (::poll(&waiting, 1, milliseconds) > 0)
       own_.clear();
   }
-  bool is_ending() const {
+  static bool is_ending() {
     return should_stop_;
   }
   // The first settings that can be used. A wrong file is named once and waited for; nothing is
--- a/src/transport/http_message.cpp
+++ b/src/transport/http_message.cpp
@@ -103,7 +103,9 @@
 
 ErrorCode check_head(std::string_view head, bool is_request, HeadFacts& facts) {
   facts = {};
-  bool is_first = true, has_length = false, has_coding = false;
+  bool is_first = true;
+  bool has_length = false;
+  bool has_coding = false;
   int hosts = 0;
   while (!head.empty()) {
     const auto end = head.find("\r\n");
@@ -126,7 +128,8 @@
     if (colon == std::string_view::npos || colon == 0 ||
         !std::all_of(line.begin(), line.begin() + colon, is_token_letter))
       return ErrorCode::malformed;
-    const std::string_view name = line.substr(0, colon), value = trimmed(line.substr(colon + 1));
+    const std::string_view name = line.substr(0, colon);
+    const std::string_view value = trimmed(line.substr(colon + 1));
     if (is_same_name(name, "Content-Length")) {
       std::size_t length = 0;
       if (!parse_length(value, length) || (has_length && length != facts.length))
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -151,7 +151,7 @@
   answer(std::move(reply), now);
 }
 
-void ServerExchange::answer(Reply reply, TimePoint now) {
+void ServerExchange::answer(const Reply& reply, TimePoint now) {
   if (state_ != State::handling)
     return;
   should_close_ = reply.should_close || !facts().is_persistent || server_.is_leaving_;
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -6,8 +6,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "transport/tcp_connection.h"
 #include "transport/http_message.h"
+#include "transport/tcp_connection.h"
 #include "transport/timer_queue.h"
 
 namespace saddlewing {
@@ -59,7 +59,7 @@
   TimePoint began() const {
     return began_;
   }  // when the first byte of the request was seen
-  void answer(Reply reply, TimePoint now);
+  void answer(const Reply& reply, TimePoint now);
 
   void on_ready(bool is_readable, bool is_writable) override;
   void on_due(TimePoint now) override;
--- a/src/transport/tcp_connection.cpp
+++ b/src/transport/tcp_connection.cpp
@@ -39,7 +39,7 @@
   try {
     Poco::Net::StreamSocket socket;
     socket.connectNB(SocketAddress(address.host, static_cast<Poco::UInt16>(address.port)));
-    return TcpConnection(std::move(socket));
+    return TcpConnection(socket);
   } catch (const Poco::Exception&) {
     return std::nullopt;
   }
--- a/src/transport/tcp_connection.h
+++ b/src/transport/tcp_connection.h
@@ -31,7 +31,7 @@
 class TcpConnection {
  public:
   TcpConnection() = default;
-  explicit TcpConnection(Poco::Net::StreamSocket socket) : socket_(std::move(socket)) {
+  explicit TcpConnection(const Poco::Net::StreamSocket& socket) : socket_(socket) {
     prepare();
   }
   static std::optional<TcpConnection> connect(const Address& address);
--- a/src/transport/timer_queue.h
+++ b/src/transport/timer_queue.h
@@ -11,13 +11,13 @@
 // Something with at most one moment in a schedule. Leaves the schedule when destroyed.
 class Scheduled {
  public:
+  Scheduled(const Scheduled&) = delete;
+  Scheduled& operator=(const Scheduled&) = delete;
   virtual void on_due(TimePoint now) = 0;
 
  protected:
   Scheduled() = default;
   virtual ~Scheduled();
-  Scheduled(const Scheduled&) = delete;
-  Scheduled& operator=(const Scheduled&) = delete;
 
  private:
   friend class TimerQueue;
--- a/tests/broker/attempt_log.h
+++ b/tests/broker/attempt_log.h
@@ -39,8 +39,9 @@
   void send(google::LogSeverity, const char*, const char*, int, const struct ::tm*,
             const char* text, std::size_t size) override {
     static const std::regex asked(
-        "traffic: (\\S+) asked of (\\S+) from port (\\d+) over connection (\\d+), (new|reused)"),
-        broke("traffic: (\\S+) broke down over connection (\\d+), (not sent|sent): .*");
+        "traffic: (\\S+) asked of (\\S+) from port (\\d+) over connection (\\d+), (new|reused)");
+    static const std::regex broke(
+        "traffic: (\\S+) broke down over connection (\\d+), (not sent|sent): .*");
     const std::string line(text, size);
     std::smatch parts;
     const std::lock_guard lock(mutex_);
--- a/tests/broker/exchange_fixture.h
+++ b/tests/broker/exchange_fixture.h
@@ -147,7 +147,7 @@
     }
     cr_assert(broker_ != nullptr);
     port_ = settings.front.port;
-    broker_->set_sender([this](DelegationMessage) {
+    broker_->set_sender([this](const DelegationMessage&) {
       held_.release();
       resumed_.acquire();
       return true;
@@ -261,7 +261,7 @@
     door.port = ntohs(at.sin_port);
     doors_.push_back(door);
   }
-  void begin(Exchange& exchange) {
+  void begin(Exchange& exchange) const {
     for (const std::string& request : exchange.requests)
       exchange.out += request;
     exchange.out.resize(std::min(exchange.out.size(), exchange.leaves_after));
@@ -318,7 +318,7 @@
     }
     return true;
   }
-  void serve_client(Exchange& exchange, bool is_writable) {
+  static void serve_client(Exchange& exchange, bool is_writable) {
     if (is_writable && exchange.sent < exchange.out.size()) {
       const auto count = ::send(exchange.socket, exchange.out.data() + exchange.sent,
                                 exchange.out.size() - exchange.sent, MSG_DONTWAIT | MSG_NOSIGNAL);
@@ -383,8 +383,8 @@
       if (end == std::string::npos)
         return;
       line.end_of_head = end + 2;
-      const std::string head = bytes.substr(0, line.end_of_head),
-                        length = value_of(head, "Content-Length");
+      const std::string head = bytes.substr(0, line.end_of_head);
+      const std::string length = value_of(head, "Content-Length");
       line.size = end + 4 + (length.empty() ? 0 : std::stoul(length));
       line.try_id = value_of(head, "Try-Id");
       const auto planned = plans.find(line.try_id);
@@ -405,7 +405,8 @@
       if (line.in.size() < limit)
         return;
     }
-    const std::string try_id = line.try_id, read = std::exchange(line.in, {});
+    const std::string try_id = line.try_id;
+    const std::string read = std::exchange(line.in, {});
     if (read.size() == line.size && !plan.is_refused)
       runs_[try_id].push_back(
           {line.backend, read.substr(0, line.end_of_head), read.substr(line.end_of_head + 2)});
--- a/tests/broker/exchange_test.cpp
+++ b/tests/broker/exchange_test.cpp
@@ -140,9 +140,8 @@
         stage.plans[try_id] = {trouble, true, point, true};
       }
   play_cases(stage, cases, exchanges);
-  for (std::size_t index = 0; index < cases.size(); ++index)
-    cr_expect(!cases[index].is_once || !stage.runs(cases[index].try_id).empty(),
-              "it reached somebody");
+  for (const auto& played : cases)
+    cr_expect(!played.is_once || !stage.runs(played.try_id).empty(), "it reached somebody");
 }
 
 // Bodies that a socket does not take at once: part of them has left when the connection ends.
@@ -366,7 +365,7 @@
   exchanges[0].requests = {case_of("slow", false).request};
   stage.plans["slow"] = {Trouble::silence, true, 0};
   for (int count = 0; count < 2500; ++count)
-    exchanges[0].requests.push_back("GET / HTTP/1.1\r\nHost:h\r\n\r\n");
+    exchanges[0].requests.emplace_back("GET / HTTP/1.1\r\nHost:h\r\n\r\n");
   stage.play(exchanges);
   cr_assert(exchanges[0].statuses.size() == 2501, "%zu", exchanges[0].statuses.size());
   cr_expect(exchanges[0].status() == 200 &&
--- a/tests/coordination/databases/database_fixture.h
+++ b/tests/coordination/databases/database_fixture.h
@@ -6,6 +6,7 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <ranges>
 #include <set>
 #include <string>
 #include <vector>
@@ -139,7 +140,7 @@
           else
             log.push_back(thing), ++number;
         } else {
-          reads.push_back({text.substr(5), connection.values});
+          reads.emplace_back(text.substr(5), connection.values);
         }
         return encode_message(WireKind::row, {"row of " + text}) +
                encode_message(WireKind::done, {"stamp " + message.field(0)}) + ready(connection);
@@ -185,11 +186,11 @@
     }
     // The verdict of the last statement: empty for done.
     std::string verdict() const {
-      for (auto message = last_contact.rbegin(); message != last_contact.rend(); ++message) {
-        if (message->kind == WireKind::done)
+      for (const auto& message : std::ranges::reverse_view(last_contact)) {
+        if (message.kind == WireKind::done)
           return "";
-        if (message->kind == WireKind::error)
-          return message->field(0);
+        if (message.kind == WireKind::error)
+          return message.field(0);
       }
       return "nothing";
     }
@@ -211,18 +212,18 @@
   void pump() {
     for (bool has_moved = true; has_moved;) {
       has_moved = false;
-      for (std::size_t position = 0; position < links_.size(); ++position) {
-        Link* link = links_[position];
+      // NOLINTNEXTLINE(modernize-loop-convert): links_ may grow while a message is taken.
+      for (std::size_t index = 0; index < links_.size(); ++index) {
+        Link* link = links_[index];
         if (!link || (link->out.empty() && !link->is_cut))
           continue;
         has_moved = true;
         std::string bytes = std::exchange(link->out, {});
         const bool is_cut = std::exchange(link->is_cut, false);
         link->in += bytes;
-        for (WireMessage message;
-             links_[position] && read_wire(link->in, message) == WireStep::done;)
+        for (WireMessage message; links_[index] && read_wire(link->in, message) == WireStep::done;)
           link->database_connection.take_message(std::move(message), Clock::now());
-        if (is_cut && links_[position])
+        if (is_cut && links_[index])
           link->database_connection.take_end();
       }
     }
--- a/tests/coordination/databases/database_session_test.cpp
+++ b/tests/coordination/databases/database_session_test.cpp
@@ -22,7 +22,9 @@
 
 Test(encode_message, what_is_no_message_is_told_apart) {
   WireMessage message;
-  std::string unknown = "Jabcdef", torn("Q\0\0\0\3abc", 8), large("Q\0\x10\0\1", 5);
+  std::string unknown = "Jabcdef";
+  std::string torn("Q\0\0\0\3abc", 8);
+  std::string large("Q\0\x10\0\1", 5);
   cr_expect(read_wire(unknown, message) == WireStep::garbled);
   cr_expect(read_wire(torn, message) == WireStep::garbled, "a field without its end");
   cr_expect(read_wire(large, message) == WireStep::too_long);
@@ -33,7 +35,9 @@
 
 Test(session, unknown_databases_and_wrong_order_end_it_by_name) {
   DatabaseSessionFixture stage;
-  DatabaseSessionFixture::Client stranger(stage), hasty(stage), proper(stage);
+  DatabaseSessionFixture::Client stranger(stage);
+  DatabaseSessionFixture::Client hasty(stage);
+  DatabaseSessionFixture::Client proper(stage);
   stage.start(stranger, "nobody");
   cr_expect(stranger.verdict() == "NODB" && stranger.is_closed);
   stage.give(hasty, wire_ask("a", "READ x"));
@@ -48,7 +52,8 @@
 
 Test(session, values_and_names_are_those_of_its_client) {
   DatabaseSessionFixture stage;
-  DatabaseSessionFixture::Client first(stage), second(stage);
+  DatabaseSessionFixture::Client first(stage);
+  DatabaseSessionFixture::Client second(stage);
   stage.start(first);
   stage.start(second);
   stage.say(first, "SET colour red");
@@ -70,7 +75,8 @@
 
 Test(session, a_transaction_keeps_its_connection_and_others_wait) {
   DatabaseSessionFixture stage;
-  DatabaseSessionFixture::Client first(stage), second(stage);
+  DatabaseSessionFixture::Client first(stage);
+  DatabaseSessionFixture::Client second(stage);
   stage.start(first);
   stage.start(second);
   stage.say(first, "BEGIN");
@@ -87,7 +93,9 @@
 
 Test(session, a_client_that_leaves_or_rests_too_long_is_rolled_back) {
   DatabaseSessionFixture stage;
-  DatabaseSessionFixture::Client resting(stage), leaving(stage), next(stage);
+  DatabaseSessionFixture::Client resting(stage);
+  DatabaseSessionFixture::Client leaving(stage);
+  DatabaseSessionFixture::Client next(stage);
   for (auto* client : {&resting, &leaving, &next})
     stage.start(*client);
   stage.say(resting, "BEGIN");
@@ -129,8 +137,8 @@
         stage.say(client, text);
         cr_assert(client.last().kind == WireKind::ready, "%s unanswered, strike %d", text.c_str(),
                   strike);
-        const std::string verdict = client.verdict(),
-                          stamp = "stamp try" + std::to_string(stage.last_try);
+        const std::string verdict = client.verdict();
+        const std::string stamp = "stamp try" + std::to_string(stage.last_try);
         const bool is_asked = text.starts_with("R") || text.starts_with("W") || text == "SAVE";
         if (verdict.empty())
           cr_expect(client.last_contact[client.last_contact.size() - 2].field(0) ==
--- a/tests/coordination/databases/failover_test.cpp
+++ b/tests/coordination/databases/failover_test.cpp
@@ -272,7 +272,8 @@
 }
 
 Test(samples, a_place_is_never_taken_for_younger_than_it_is) {
-  LogPositionSamples own, other;
+  LogPositionSamples own;
+  LogPositionSamples other;
   const TimePoint start = TimePoint{} + 1000s;
   own.note("db", 3, {1, 40}, start);
   const std::string told = own.tell(start + 300ms, Duration(1000));
--- a/tests/coordination/placement/shard_migration_scenario.h
+++ b/tests/coordination/placement/shard_migration_scenario.h
@@ -8,8 +8,8 @@
 #include <array>
 #include <set>
 
-#include "coordination/routing/bulkhead.h"
 #include "coordination/placement/shard_node_fixture.h"
+#include "coordination/routing/bulkhead.h"
 
 namespace saddlewing::tests {
 
@@ -155,7 +155,7 @@
   std::unique_ptr<ShardMigration> moves;
   RingLoads loads{Duration(20000)};
   AccountLoads account_loads{Duration(20000), 256};
-  RingReport report() {
+  RingReport report() const {
     RingLoadMonitor watch{WatchOptions{}};
     return watch.report(ring, loads.sums(ring.owners.size(), now), account_loads.sums(now));
   }
@@ -183,7 +183,9 @@
         "- {name: far, zone: z, region: s, memory_mb: 900, disk_mb: 9000, disk_mb_per_s: 200}\n";
     document = {1, file, {}, {}, {}};
     cr_assert(!ring_of(document, ring));
-    const double disks[] = {400, 400, 40, 200}, ways[] = {1, 1, 1, 24}, works[] = {1, 1, 1.25, 1};
+    const double disks[] = {400, 400, 40, 200};
+    const double ways[] = {1, 1, 1, 24};
+    const double works[] = {1, 1, 1.25, 1};
     for (std::size_t position = 0; position < 4; ++position) {
       ShardNode& node = nodes.emplace_back();
       node.name = ring.nodes[position].name;
@@ -235,9 +237,9 @@
     if (++request.tries > 30)
       return;
     request.until = now + 500ms + 400ms;
-    later_.push_back({now + 500ms, request});
+    later_.emplace_back(now + 500ms, request);
   }
-  void send(Broker& broker, Request request) {
+  void send(Broker& broker, const Request& request) {
     if (now < broker.dead_until)
       return come_back(request);
     const auto way = !has_leases && request.ask != Ask::write
@@ -382,7 +384,7 @@
     for (const auto& one : output.orders) {
       const Fate met = meet();
       if (met == Fate::late)
-        delayed_.push_back({now + 2500ms, one});
+        delayed_.emplace_back(now + 2500ms, one);
       if (met == Fate::lost || met == Fate::late)
         moves->finish_order(one.token, {});
       else
@@ -427,8 +429,8 @@
     if (met == Fate::lost || met == Fate::late)
       return;  // its answer, come late, would count from the asking: the same as none
     moves->leases().note(name, broker.incarnation, broker.gate.confirmed(), now);
-    const Duration granted = moves->leases().grant(name, broker.incarnation, now),
-                   lease = has_waits ? granted : Duration(1000);
+    const Duration granted = moves->leases().grant(name, broker.incarnation, now);
+    const Duration lease = has_waits ? granted : Duration(1000);
     if (broker.gate.view()->revision < document.revision)
       broker.gate.take(view_ring(document));
     if (lease > Duration(0))
@@ -448,13 +450,13 @@
         if (flight.request.ask == Ask::write)
           recorder.finish(flight.request);  // the client is told that nobody knows
         else
-          later_.push_back({now + 300ms, flight.request});
+          later_.emplace_back(now + 300ms, flight.request);
         orphans_.push_back(std::move(flight));
       }
       for (const Request& request : broker.parked)
-        later_.push_back({now + 300ms, request});
+        later_.emplace_back(now + 300ms, request);
       for (Request next; broker.waiting.pop(next);)
-        later_.push_back({now + 300ms, next});
+        later_.emplace_back(now + 300ms, next);
       const IncarnationId incarnation{broker.incarnation.value + 1};
       broker = Broker{};
       broker.incarnation = incarnation;
@@ -498,7 +500,7 @@
           land(flight, leg);
     for (const auto& [when, request] : std::exchange(later_, {})) {
       if (now < when)
-        later_.push_back({when, request});
+        later_.emplace_back(when, request);
       else
         send(brokers[(request.id + request.tries) % 2], request);
     }
--- a/tests/coordination/placement/shard_migration_test.cpp
+++ b/tests/coordination/placement/shard_migration_test.cpp
@@ -31,7 +31,10 @@
 }  // namespace
 
 Test(scenario, accounts_move_and_nothing_is_lost_doubled_or_stale) {
-  ShardMigrationScenario still, moved, light, naive;
+  ShardMigrationScenario still;
+  ShardMigrationScenario moved;
+  ShardMigrationScenario light;
+  ShardMigrationScenario naive;
   still.moves_wanted = no_moves;
   light.has_heavy = false;
   naive.has_bulkheads = false;
@@ -55,13 +58,14 @@
   cr_expect(p99(moved) < p99(light) + 60,
             "and beside heavy pulls: they wait for less than one of them");
   cr_expect(p99(naive) > p99(moved) * 1.3, "a single queue makes them wait");
-  cr_expect(moved.heavy_times.size() > 0 &&
+  cr_expect(!moved.heavy_times.empty() &&
                 ShardMigrationScenario::percentile(moved.heavy_times, 1.0) < 3000,
             "heavy pulls are not starved");
 }
 
 Test(scenario, a_virtual_node_moves_as_proposed_and_naive_moves_are_slower) {
-  ShardMigrationScenario moved, naive;
+  ShardMigrationScenario moved;
+  ShardMigrationScenario naive;
   moved.has_heavy = naive.has_heavy = false;
   moved.moves_wanted = {{hot_virtual_node(moved), "quick-2"}};
   naive.moves_wanted = {
--- a/tests/coordination/placement/shard_node_fixture.h
+++ b/tests/coordination/placement/shard_node_fixture.h
@@ -71,7 +71,7 @@
         return false;
     for (const auto& [account, copy] : copies)
       if (!holds(head.hidden, account) && (copy.is_shown || holds(head.shown, account)))
-        seen.push_back({account, copy.writes});
+        seen.emplace_back(account, copy.writes);
     return true;
   }
 
--- a/tests/coordination/routing/alerts_test.cpp
+++ b/tests/coordination/routing/alerts_test.cpp
@@ -29,7 +29,8 @@
   };
   cr_expect(alerts.evaluate(value, start).empty());
   cr_expect(alerts.evaluate(value, start + 1s).empty() && alerts.refuse_from() > 1000);
-  const std::vector<std::string> fires{"Busy fires"}, ceased{"Busy ceased"};
+  const std::vector<std::string> fires{"Busy fires"};
+  const std::vector<std::string> ceased{"Busy ceased"};
   cr_expect(alerts.evaluate(value, start + 2s) == fires);
   cr_expect(alerts.refuse_from() == 2);
   proxied_requests = 9;
--- a/tests/coordination/routing/bulkhead_test.cpp
+++ b/tests/coordination/routing/bulkhead_test.cpp
@@ -162,7 +162,9 @@
 }
 
 Test(request, may_start_anew_only_while_nothing_risky_has_run_and_the_allowance_covers_it) {
-  RequestFixture harmless(single), once(risky), poor(single);
+  RequestFixture harmless(single);
+  RequestFixture once(risky);
+  RequestFixture poor(single);
   for (RequestFixture* stage : {&harmless, &once, &poor})
     stage->request->start(start);
   cr_expect(
--- a/tests/coordination/routing/delegated_gather_test.cpp
+++ b/tests/coordination/routing/delegated_gather_test.cpp
@@ -201,7 +201,9 @@
     std::string name;
   };
   std::minstd_rand luck(7);
-  std::size_t served = 0, given_up = 0, limit = 0;
+  std::size_t served = 0;
+  std::size_t given_up = 0;
+  std::size_t limit = 0;
   for (int day = 0; day < 3000; ++day) {
     const int tries = 1 + day % 3;
     RequestFixture requester(gathered, 4, tries);
@@ -212,7 +214,10 @@
     DelegationFixture aide(requester.delegated_parts.size());
     std::vector<Flight> flights;
     std::vector<std::pair<TimePoint, GatherResult>> frames;
-    std::size_t seen_by_asker = 0, seen_by_aide = 0, seen_frames = 0, number = 0;
+    std::size_t seen_by_asker = 0;
+    std::size_t seen_by_aide = 0;
+    std::size_t seen_frames = 0;
+    std::size_t number = 0;
     std::map<std::size_t, std::size_t> may_have_run;
     const bool loses_frames = day % 5 == 0;
     const auto fly = [&](bool is_delegate, std::size_t part, TimePoint now) {
@@ -230,10 +235,9 @@
         fly(true, aide.asked[seen_by_aide], now);
       for (; seen_frames < aide.frames.size(); ++seen_frames)
         if (!loses_frames || luck() % 2)
-          frames.push_back(
-              {now + Duration(20 + static_cast<int>(luck() % 60)), aide.frames[seen_frames]});
-      for (std::size_t index = 0; index < flights.size(); ++index) {
-        const Flight flight = flights[index];
+          frames.emplace_back(now + Duration(20 + static_cast<int>(luck() % 60)),
+                              aide.frames[seen_frames]);
+      for (auto flight : flights) {
         if (flight.due != now)
           continue;
         Requester& whose =
--- a/tests/coordination/routing/edge_latency_test.cpp
+++ b/tests/coordination/routing/edge_latency_test.cpp
@@ -219,7 +219,7 @@
     }
   }
   // Whether a broker has turned away from the slow edge, and when.
-  void note_stop(Broker& broker) {
+  void note_stop(Broker& broker) const {
     if (broker.region != "south" || now < slow_from || broker.stopped != TimePoint{})
       return;
     const bool has_stopped =
@@ -230,7 +230,8 @@
   }
   // Between the first and the last broker of the south that stops sending there.
   Duration spread() const {
-    TimePoint first = TimePoint::max(), last{};
+    TimePoint first = TimePoint::max();
+    TimePoint last{};
     for (const Broker& broker : brokers)
       if (broker.region == "south")
         first = std::min(first, broker.stopped),
@@ -246,7 +247,8 @@
 }  // namespace
 
 Test(edges, all_brokers_leave_a_slow_edge_at_the_same_time_and_come_back) {
-  Day shared, alone;
+  Day shared;
+  Day alone;
   shared.start(20), alone.start(20);
   alone.has_view = false;
   shared.run_until_slow_ends(), alone.run_until_slow_ends();
@@ -367,7 +369,8 @@
     }
     return view;
   };
-  const EdgeSnapshot roomy = judge(40, 3), narrow = judge(2.5, 2);
+  const EdgeSnapshot roomy = judge(40, 3);
+  const EdgeSnapshot narrow = judge(2.5, 2);
   cr_assert(roomy && narrow);
   const auto avoided = std::count_if(
       roomy->states.begin(), roomy->states.end(),
@@ -405,7 +408,8 @@
   full.add({"a", "x", EdgeClass::light}, 1, false);
   full.add({"b", "x", EdgeClass::light}, 1, false);
   cr_expect(full.rows().size() == 1 && full.dropped() == 1);
-  EdgeView view, read;
+  EdgeView view;
+  EdgeView read;
   view.revision = 7;
   view.states.push_back({"index", "north-a", "south", EdgeState::Verdict::avoided, 0, "slow"});
   const std::string text = encode_view(view);
--- a/tests/coordination/routing/load_balancer_test.cpp
+++ b/tests/coordination/routing/load_balancer_test.cpp
@@ -17,7 +17,8 @@
 // requests.
 Test(budget, extras_never_exceed_the_share_in_any_span) {
   RetryBudget budget(Duration(10000), 0.2);
-  std::vector<TimePoint> requests, extras;
+  std::vector<TimePoint> requests;
+  std::vector<TimePoint> extras;
   std::uint64_t noise = 88172645463325252ull;
   const auto draw = [&] {
     return noise ^= noise << 13, noise ^= noise >> 7, noise ^= noise << 17;
--- a/tests/coordination/routing/proxied_request_test.cpp
+++ b/tests/coordination/routing/proxied_request_test.cpp
@@ -186,7 +186,8 @@
 // The backend's own 503 promises nothing unless it says that it has not run.
 Test(request, a_status_that_would_promise_is_not_passed_on_for_a_risky_one_that_may_have_run) {
   for (const int status : {408, 429, 503}) {
-    RequestFixture once(risky), free(single);
+    RequestFixture once(risky);
+    RequestFixture free(single);
     once.request->start(start);
     once.take(0, RequestFixture::failed(status, false));
     cr_expect(once.status() == 502 && once.asked.size() == 1, "%d", status);
--- a/tests/coordination/routing/request_fixture.h
+++ b/tests/coordination/routing/request_fixture.h
@@ -86,7 +86,7 @@
   static BackendResponse failed(int status, bool is_not_run) {
     return {status, is_not_run, "Bad", "X: y\r\n", "q", "failure"};
   }
-  void take(std::size_t part, BackendResponse outcome, TimePoint now = start + 20ms) {
+  void take(std::size_t part, BackendResponse outcome, TimePoint now = start + 20ms) const {
     request->handle_response(part, std::move(outcome), Duration(20), now);
   }
   int status() const {
--- a/tests/transport/http_client_connection_test.cpp
+++ b/tests/transport/http_client_connection_test.cpp
@@ -78,8 +78,8 @@
 }  // namespace
 
 Test(caller, its_own_answer_is_found_behind_surplus_ones_in_whichever_pieces_they_come) {
-  const std::string surplus = good_answer("1", "b") + good_answer("0", "b"),
-                    all = surplus + good_answer("2", "b");
+  const std::string surplus = good_answer("1", "b") + good_answer("0", "b");
+  const std::string all = surplus + good_answer("2", "b");
   for (std::size_t cut = 0; cut <= all.size(); ++cut) {
     ClientConnectionFixture stage;
     stage.greet();
--- a/tools/capacity.cpp
+++ b/tools/capacity.cpp
@@ -15,13 +15,14 @@
 #include <iostream>
 #include <memory>
 #include <sstream>
+#include <utility>
 
 #include "coordination/routing/edge_latency.h"
-#include "protocol/http_calls.h"
 #include "protocol/frames.h"
+#include "protocol/http_calls.h"
 #include "state/compression.h"
-#include "transport/http_client_connection.h"
 #include "transport/frame_link.h"
+#include "transport/http_client_connection.h"
 #include "transport/http_server.h"
 
 using namespace saddlewing;
@@ -105,7 +106,7 @@
 // One call after another to the registry's control address.
 class Operator final : public HttpCallObserver {
  public:
-  Operator(Poller& poller, const Address& address) : poller_(poller), address_(address) {
+  Operator(Poller& poller, Address address) : poller_(poller), address_(std::move(address)) {
   }
   void put(const std::string& body) {
     if (is_waiting)
@@ -162,13 +163,15 @@
     return usage;
   std::istringstream fields(text.substr(text.rfind(')') + 2));
   std::string skipped;
-  double user = 0, kernel = 0;
+  double user = 0;
+  double kernel = 0;
   for (int position = 3; position < 14; ++position)
     fields >> skipped;
   fields >> user >> kernel;
   usage.processor_s = (user + kernel) / static_cast<double>(sysconf(_SC_CLK_TCK));
   std::ifstream memory("/proc/" + std::to_string(process) + "/statm");
-  double all = 0, resident = 0;
+  double all = 0;
+  double resident = 0;
   memory >> all >> resident;
   usage.memory_mb = resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / (1 << 20);
   return usage;
@@ -373,7 +376,8 @@
   Process broker(wanted.binary, "broker", folder, broker_settings);
   Hollows hollows(wanted.brokers, port, wanted.edge_cells);
   Operator caller(poller, {"127.0.0.1", port + 2});
-  int version = 1, put = 0;
+  int version = 1;
+  int put = 0;
   TimePoint put_at{};
   const auto turn = [&](TimePoint now) {
     poller.poll(Duration(1));
@@ -394,12 +398,16 @@
     return {};
   for (const TimePoint until = Clock::now() + 3s; Clock::now() < until;)
     turn(Clock::now());
-  const Usage registry_before = registry.usage(), broker_before = broker.usage();
-  const std::uint64_t sent = hollows.sent, sent_bytes = hollows.sent_bytes,
-                      last_contact = hollows.last_contact, received_bytes = hollows.received_bytes,
-                      probes = platform.probes;
+  const Usage registry_before = registry.usage();
+  const Usage broker_before = broker.usage();
+  const std::uint64_t sent = hollows.sent;
+  const std::uint64_t sent_bytes = hollows.sent_bytes;
+  const std::uint64_t last_contact = hollows.last_contact;
+  const std::uint64_t received_bytes = hollows.received_bytes;
+  const std::uint64_t probes = platform.probes;
   const TimePoint began = Clock::now();
-  TimePoint change_due = began, replace_due = began;
+  TimePoint change_due = began;
+  TimePoint replace_due = began;
   std::vector<double> spreads;  // how long until all hold a change
   TimePoint changed{};
   while (Clock::now() <
@@ -425,7 +433,8 @@
     }
   }
   const double span = std::chrono::duration<double>(Clock::now() - began).count();
-  const Usage registry_after = registry.usage(), broker_after = broker.usage();
+  const Usage registry_after = registry.usage();
+  const Usage broker_after = broker.usage();
   std::sort(spreads.begin(), spreads.end());
   Json::Value result(Json::objectValue);
   result["brokers"] = wanted.brokers;
--- a/tools/model.cpp
+++ b/tools/model.cpp
@@ -44,7 +44,8 @@
 };
 
 Outcome walk_all(const Wanted& wanted, bool should_stop) {
-  std::atomic<std::uint64_t> next = 0, limit = wanted.walks;
+  std::atomic<std::uint64_t> next = 0;
+  std::atomic<std::uint64_t> limit = wanted.walks;
   const auto end = std::chrono::steady_clock::now() + wanted.limit;
   Outcome outcome;
   std::mutex guard;
--- a/tools/model_checks.cpp
+++ b/tools/model_checks.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 #include <limits>
+#include <ranges>
 
 namespace saddlewing::model {
 
@@ -80,8 +81,10 @@
       position->second = std::min(position->second, call.returned);
     }
   std::uint64_t minimum = never;
-  for (auto position = reached.rbegin(); position != reached.rend(); ++position)
-    position->second = minimum = std::min(minimum, position->second);
+  for (auto& [version, returned] : std::ranges::reverse_view(reached)) {
+    minimum = std::min(minimum, returned);
+    returned = minimum;
+  }
   std::map<std::int64_t, std::string> bodies;
   for (std::size_t number = 0; number < calls_.size(); ++number) {
     const Call& read = calls_[number];
--- a/tools/model_explore.cpp
+++ b/tools/model_explore.cpp
@@ -358,12 +358,12 @@
     state.nodes[number] = std::make_shared<Node>(node);
   }
 
-  void check(State& state) {
+  static void check(State& state) {
     if (const std::string text = state.history.check(); !text.empty())
       state.ledger.fail("linearizable", text);
   }
 
-  std::uint64_t digest_of(const State& state) const {
+  static std::uint64_t digest_of(const State& state) {
     std::uint64_t digest = mix(state.ledger.digest(), state.history.digest());
     for (const auto& node : state.nodes)
       digest = mix(digest, node->digest);
--- a/tools/model_nodes.cpp
+++ b/tools/model_nodes.cpp
@@ -354,7 +354,8 @@
 
 void World::route_calls(Node& node) {
   const TimePoint now = local(node);
-  std::vector<std::uint64_t> ended, settled;
+  std::vector<std::uint64_t> ended;
+  std::vector<std::uint64_t> settled;
   const EntrySnapshot& committed = node.raft->committed();
   const std::string& leader = node.raft->leader_address();
   for (auto& [token, call] : node.calls) {
--- a/tools/model_trace.cpp
+++ b/tools/model_trace.cpp
@@ -95,7 +95,9 @@
     return path + ": of another version than " + std::to_string(format);
   if (root["zz_end"] != end_mark)
     return path + ": cut short, its end mark is missing";
-  const Json::Value &setup = root["setup"], &steps = root["steps"], &broken = root["broken"];
+  const Json::Value& setup = root["setup"];
+  const Json::Value& steps = root["steps"];
+  const Json::Value& broken = root["broken"];
   if (!root["seed"].isString() || !root["planted"].isString() || !setup.isObject() ||
       !steps.isArray() || !broken.isObject())
     return path + ": no trace of a walk";
@@ -117,7 +119,11 @@
   Micros last = 0;
   for (const Json::Value& item : steps) {
     const std::string where = path + ": step " + std::to_string(++count);
-    std::int64_t at = 0, node = 0, other = 0, value = 0, group = 0;
+    std::int64_t at = 0;
+    std::int64_t node = 0;
+    std::int64_t other = 0;
+    std::int64_t value = 0;
+    std::int64_t group = 0;
     if (!item.isObject() || !item["act"].isString())
       return where + " is no step";
     const auto act = act_of(item["act"].asString());
--- a/tools/model_walk.cpp
+++ b/tools/model_walk.cpp
@@ -142,8 +142,8 @@
     const Micros span = chance(4)   ? between(2, 60) * 1'000
                         : chance(4) ? between(50, 400) * 1'000
                         : chance(2) ? between(600, 2'500) * 1'000
-                                    : between(200, 12'000) * 1'000,
-                 end = at + span;
+                                    : between(200, 12'000) * 1'000;
+    const Micros end = at + span;
     if (kind == 0)
       return draw_power(at);
     if (kind == 1) {
--- a/tools/model_world.cpp
+++ b/tools/model_world.cpp
@@ -53,7 +53,7 @@
                                    static_cast<Micros>(static_cast<double>(now_) * machine.rate));
 }
 
-Micros World::global(const Machine& machine, TimePoint moment) const {
+Micros World::global(const Machine& machine, TimePoint moment) {
   const auto since =
       std::chrono::duration_cast<std::chrono::microseconds>(moment - TimePoint{} - 1000s).count() -
       machine.offset;
@@ -68,7 +68,8 @@
 
 void World::send(int from, int to, Content content) {
   const Setup& setup = walk_.setup;
-  const Machine *sender = machine(from), *receiver = machine(to);
+  const Machine* sender = machine(from);
+  const Machine* receiver = machine(to);
   if (!sender || !receiver || (sender->cut & 2) || (receiver->cut & 1))
     return;
   if (const auto link = links_.find({from, to}); link != links_.end() && link->second)
@@ -82,8 +83,8 @@
   };
   if (part(0, 1000) < (is_healed_ ? 0 : std::max(setup.loss, storm_)))
     return;
-  const Micros minimum = is_healed_ ? std::min<Micros>(setup.delay, 20'000) : setup.delay,
-               jitter = is_healed_ ? std::min<Micros>(setup.jitter, 30'000) : setup.jitter;
+  const Micros minimum = is_healed_ ? std::min<Micros>(setup.delay, 20'000) : setup.delay;
+  const Micros jitter = is_healed_ ? std::min<Micros>(setup.jitter, 30'000) : setup.jitter;
   const auto way = [&](int shift) {
     return minimum +
            (jitter ? static_cast<Micros>((noise >> shift) % static_cast<std::uint64_t>(jitter))
@@ -331,9 +332,11 @@
 std::optional<Violation> World::run(Tally& tally) {
   const Setup& setup = walk_.setup;
   auto step = walk_.steps.begin();
-  Micros look_at = 0, well_at = -1;
+  Micros look_at = 0;
+  Micros well_at = -1;
   Micros ask_at = 0;
-  std::vector<std::size_t> writes, reads;
+  std::vector<std::size_t> writes;
+  std::vector<std::size_t> reads;
   while (!ledger_.found()) {
     const bool has_step = step != walk_.steps.end() && step->at < setup.length;
     const Micros event_at = heap_.empty() ? std::numeric_limits<Micros>::max() : heap_.front().at;
--- a/tools/model_world.h
+++ b/tools/model_world.h
@@ -7,9 +7,9 @@
 #include <ostream>
 #include <variant>
 
-#include "coordination/raft/raft_node.h"
-#include "coordination/leases/retry_quota.h"
 #include "coordination/leases/lease_table.h"
+#include "coordination/leases/retry_quota.h"
+#include "coordination/raft/raft_node.h"
 #include "coordination/rollout/version_rollout.h"
 #include "model_checks.h"
 #include "model_walk.h"
@@ -140,7 +140,7 @@
   void handle(Event event);
   Machine* machine(int number);
   TimePoint local(const Machine& machine) const;
-  Micros global(const Machine& machine, TimePoint moment) const;
+  static Micros global(const Machine& machine, TimePoint moment);
   std::uint64_t draw(std::uint64_t salt);
   void apply(const Step& step);
   void heal();
@@ -176,7 +176,7 @@
   void follow(Broker& broker);
   void handle_heartbeat(Broker& broker, const HeartbeatPacket& heartbeat);
   void handle_subscribe(Node& node, const FollowPacket& follow);
-  HeartbeatPacket make_heartbeat(Node& node);
+  static HeartbeatPacket make_heartbeat(Node& node);
   void update_tables(Node& node);
   void advance_rollout(Node& node);
 
