--- a/tools/checks/lint.sh
+++ b/tools/checks/lint.sh
@@ -20,6 +20,7 @@
 check shellcheck xargs -d '\n' shellcheck <<<"$shell_scripts"
 check flake8 xargs -d '\n' flake8 --max-line-length 100 <<<"$python_scripts"
 check includes tools/checks/check_includes.py
+check glossary tools/checks/check_glossary.py
 check clang-tidy tools/checks/tidy.sh "$1"
 if ((${#failed[@]})); then
   echo "lint: failed: ${failed[*]}"
