--- a/tools/checks/lint.sh
+++ b/tools/checks/lint.sh
@@ -21,6 +21,7 @@
 check flake8 xargs -d '\n' flake8 --max-line-length 100 <<<"$python_scripts"
 check includes tools/checks/check_includes.py
 check glossary tools/checks/check_glossary.py
+check pages tools/checks/check_pages.py
 check clang-tidy tools/checks/tidy.sh "$1"
 if ((${#failed[@]})); then
   echo "lint: failed: ${failed[*]}"
