--- a/src/broker/backend_connection.cpp
+++ b/src/broker/backend_connection.cpp
@@ -34,12 +34,11 @@
 
 }  // namespace
 
-BackendConnection::BackendConnection(BrokerLoop& traffic, BackendPointer backend)
-    : traffic_(traffic),
-      serial_(++traffic.last_connection_),
+BackendConnection::BackendConnection(BrokerLoop& loop, BackendPointer backend)
+    : loop_(loop),
+      serial_(++loop.last_connection_),
       backend_(std::move(backend)),
-      caller_(traffic.poller_, *this, backend_->address, max_head,
-              traffic.settings_.memory_bytes / 32) {
+      caller_(loop.poller_, *this, backend_->address, max_head, loop.settings_.memory_bytes / 32) {
   ++backend_->connections;
 }
 
@@ -55,8 +54,8 @@
 }
 
 void BackendConnection::rest(TimePoint now, Duration idle) {
-  traffic_.idle_[backend_.get()].push_back(this);
-  traffic_.timers_.set(*this, now + idle);
+  loop_.idle_[backend_.get()].push_back(this);
+  loop_.timers_.set(*this, now + idle);
 }
 
 bool BackendConnection::ask(RequestContextPointer context, std::size_t part, TimePoint now) {
@@ -65,7 +64,7 @@
   // spend one of its few tries there.
   if (!caller_.is_quiet())
     return false;
-  const std::string head = traffic_.head_for(*context, *backend_, now);
+  const std::string head = loop_.head_for(*context, *backend_, now);
   if (!caller_.ask(context->body.empty() ? head : head + context->body, context->method == "HEAD",
                    context->try_id, context->requester->deadline()))
     return false;
@@ -84,7 +83,7 @@
   ++backend_->asked;
   backend_->last_asked = now;
   is_connect_checked_ = caller_.was_connected();
-  traffic_.timers_.set(
+  loop_.timers_.set(
       *this,
       now + (is_connect_checked_ ? std::max(stalled_least, Duration(static_cast<std::int64_t>(
                                                                backend_->mean_ms * stalled_times)))
@@ -101,44 +100,44 @@
   --backend_->asked;
   if (is_heavy_)
     --backend_->heavy_asked;
-  traffic_.timers_.drop(*this);
+  loop_.timers_.drop(*this);
   return std::move(context_);
 }
 
 void BackendConnection::on_due(TimePoint now) {
   if (!context_) {  // idle for long enough
     const BackendPointer backend = backend_;
-    traffic_.defer_delete(this);
-    return traffic_.keep_warm(backend);
+    loop_.defer_delete(this);
+    return loop_.keep_warm(backend);
   }
   if (!caller_.was_connected()) {
     backend_->breaker.fail(now, true);
     report_failure(ErrorCode::silent, false);
     const RequestContextPointer context = release();
     const std::size_t part = part_;
-    traffic_.count_edge(backend_->service, backend_->zone, EdgeClass::light, elapsed(asked_, now),
-                        true);
+    loop_.count_edge(backend_->service, backend_->zone, EdgeClass::light, elapsed(asked_, now),
+                     true);
     caller_.end();
-    traffic_.defer_delete(this);
+    loop_.defer_delete(this);
     context->requester->handle_failure(part, ErrorCode::silent, false, now);
-    return traffic_.arrange(*context);
+    return loop_.arrange(*context);
   }
   const TimePoint last = context_->requester->deadline() + past_deadline;
   if (now < last) {
     if (now - asked_ >= stalled_least)
       backend_->breaker.fail(now, false);
-    traffic_.timers_.set(
+    loop_.timers_.set(
         *this, now - asked_ >= stalled_least ? last : std::min(last, asked_ + stalled_least));
     return;
   }
-  traffic_.count_edge(backend_->service, backend_->zone,
-                      is_heavy_ ? EdgeClass::heavy : EdgeClass::light, elapsed(asked_, now), true);
+  loop_.count_edge(backend_->service, backend_->zone,
+                   is_heavy_ ? EdgeClass::heavy : EdgeClass::light, elapsed(asked_, now), true);
   report_failure(ErrorCode::silent, true);
   const RequestContextPointer context = release();
   caller_.end();
-  traffic_.defer_delete(this);
+  loop_.defer_delete(this);
   context->requester->handle_failure(part_, ErrorCode::silent, true, now);
-  traffic_.arrange(*context);
+  loop_.arrange(*context);
 }
 
 void BackendConnection::read_load(const Poco::Net::HTTPResponse& response, TimePoint now) {
@@ -190,11 +189,11 @@
     if (is_success)
       backend_->record_response(static_cast<double>(served.count()),
                                 static_cast<double>(caller.reader().body().size()));
-    traffic_.count_edge(backend_->service, backend_->zone,
-                        is_heavy_ ? EdgeClass::heavy : EdgeClass::light, took,
-                        !is_success && outcome.status >= 500);
+    loop_.count_edge(backend_->service, backend_->zone,
+                     is_heavy_ ? EdgeClass::heavy : EdgeClass::light, took,
+                     !is_success && outcome.status >= 500);
     if (is_success)
-      traffic_.record_work(*context_, *backend_, took, caller.reader().body().size(), now);
+      loop_.record_work(*context_, *backend_, took, caller.reader().body().size(), now);
   }
   if (!context_->requester->is_gathering()) {
     outcome.reason = response.getReason();
@@ -207,19 +206,19 @@
   const std::size_t part = part_;
   const Duration idle = idle_span(response);
   if (response.has("Keep-Alive"))
-    traffic_.idle_spans_[backend_->service] = idle;
+    loop_.idle_spans_[backend_->service] = idle;
   const RequestContextPointer context = release();
   if (is_ended() || backend_->is_cancelled || idle <= Duration(0)) {
-    traffic_.defer_delete(this);
+    loop_.defer_delete(this);
   } else {
     rest(now, backend_->is_own || !backend_->is_scarce ? idle : std::min(idle, borrowed_idle));
   }
-  if (outcome.is_not_run && context->ring && traffic_.restart(context, part, now))
+  if (outcome.is_not_run && context->ring && loop_.restart(context, part, now))
     return;
   context->requester->handle_response(part, std::move(outcome), took, now);
-  traffic_.arrange(*context);
-  if (!traffic_.turns_.is_empty())
-    traffic_.serve_turns(turns_at_once, now);
+  loop_.arrange(*context);
+  if (!loop_.turns_.is_empty())
+    loop_.serve_turns(turns_at_once, now);
 }
 
 void BackendConnection::on_failure(HttpClientConnection& caller, ErrorCode kind, TimePoint now) {
@@ -227,23 +226,23 @@
     return on_idle_end(caller);
   backend_->breaker.fail(now, kind == ErrorCode::refused_connection);
   metrics().add(Metric::breakdowns);
-  traffic_.count_edge(backend_->service, backend_->zone,
-                      is_heavy_ ? EdgeClass::heavy : EdgeClass::light, elapsed(asked_, now), true);
+  loop_.count_edge(backend_->service, backend_->zone,
+                   is_heavy_ ? EdgeClass::heavy : EdgeClass::light, elapsed(asked_, now), true);
   const bool may_have_run = caller.has_sent();
   report_failure(kind, may_have_run);
   const std::size_t part = part_;
   const RequestContextPointer context = release();
-  traffic_.defer_delete(this);
+  loop_.defer_delete(this);
   context->requester->handle_failure(part, kind, may_have_run, now);
-  traffic_.arrange(*context);
+  loop_.arrange(*context);
 }
 
 void BackendConnection::on_idle_end(HttpClientConnection&) {
   const BackendPointer backend = backend_;
   const bool was_connected = caller_.was_connected();
-  traffic_.defer_delete(this);
+  loop_.defer_delete(this);
   if (backend && was_connected)
-    traffic_.keep_warm(backend);
+    loop_.keep_warm(backend);
 }
 
 }  // namespace saddlewing
--- a/src/broker/broker_edges.cpp
+++ b/src/broker/broker_edges.cpp
@@ -19,10 +19,10 @@
 }
 
 void BrokerLoop::EdgeClock::on_due(TimePoint now) {
-  if (std::string counts = traffic.edge_counts_.take(); !counts.empty() && traffic.control_client_)
-    traffic.control_client_->report_edges(std::move(counts));
-  traffic.picker_.set_influence(traffic.edge_selector_.influence(now));
-  traffic.timers_.set(*this, now + count_every);
+  if (std::string counts = loop.edge_counts_.take(); !counts.empty() && loop.control_client_)
+    loop.control_client_->report_edges(std::move(counts));
+  loop.picker_.set_influence(loop.edge_selector_.influence(now));
+  loop.timers_.set(*this, now + count_every);
 }
 
 void BrokerLoop::take_edges(EdgeNews news, TimePoint now) {
--- a/src/broker/broker_loop.cpp
+++ b/src/broker/broker_loop.cpp
@@ -3,9 +3,8 @@
 #include <glog/logging.h>
 
 #include <algorithm>
-#include <fstream>
-#include <sstream>
 
+#include "broker/request_head.h"
 #include "protocol/http_calls.h"
 
 namespace saddlewing {
@@ -18,66 +17,13 @@
 constexpr Duration warm_pause{3000};    // between connections opened in advance to one backend
 constexpr Duration before_end{700};     // of the grace, kept for the end itself
 
-Duration parse_time_left(const std::string& text, Duration otherwise) {
-  if (text.empty() || text.size() > 9)
-    return otherwise;
-  std::int64_t value = 0;
-  for (const char digit : text) {
-    if (digit < '0' || digit > '9')
-      return otherwise;
-    value = value * 10 + (digit - '0');
-  }
-  return Duration(value);
-}
-
-std::string lower(std::string text) {
-  for (char& letter : text)
-    if (letter >= 'A' && letter <= 'Z')
-      letter = static_cast<char>(letter + 32);
-  return text;
-}
-
-// The head as every backend gets it, without the lines that differ and without its end.
-std::string start_head(const Poco::Net::HTTPRequest& request, std::size_t body_size) {
-  std::string head = request.getMethod() + " " + request.getURI() + " HTTP/1.1\r\n";
-  const std::string nominated = "," + lower(request.get("Connection", "")) + ",";
-  for (const auto& [name, value] : request) {
-    if (is_hop_field(name) || is_same_name(name, field::time_left) ||
-        is_same_name(name, field::meant_server) || is_same_name(name, field::ring_revision) ||
-        is_same_name(name, field::ring_show) || is_same_name(name, field::ring_hide))
-      continue;
-    if (nominated.size() > 2 && nominated.find(lower(name)) != std::string::npos &&
-        !is_same_name(name, "Host") && !is_same_name(name, field::try_id))
-      continue;
-    ((head += name) += ": ") += value + "\r\n";
-  }
-  const std::string& method = request.getMethod();
-  if (body_size || method == "POST" || method == "PUT" || method == "PATCH")
-    head += "Content-Length: " + std::to_string(body_size) + "\r\n";
-  return head;
-}
-
-// What a node of the ring is told: the sheet that the request goes by, and whether it shows the
-// unit that is on the move.
-std::string ring_fields(const RingView& view, const std::string& node) {
-  const std::size_t index = view.map.index_of(node);
-  if (index == view.map.nodes.size())
-    return {};
-  std::string fields =
-      std::string(field::ring_revision) + ": " + std::to_string(view.revision) + "\r\n";
-  if (const auto told = view.tellings.find(index); told != view.tellings.end())
-    fields += std::string(told->second.is_shown ? field::ring_show : field::ring_hide) + ": " +
-              told->second.unit.text() + "\r\n";
-  return fields;
-}
-
 }  // namespace
 
 void RequestContext::on_due(TimePoint now) {
-  const auto kept = traffic.contexts_.find(requester.get());
-  const RequestContextPointer self = kept != traffic.contexts_.end() ? kept->second : nullptr;
+  const auto kept = loop.contexts_.find(requester.get());
+  const RequestContextPointer self = kept != loop.contexts_.end() ? kept->second : nullptr;
   requester->on_due(now);
-  traffic.arrange(*this);
+  loop.arrange(*this);
 }
 
 BrokerLoop::BrokerLoop(const NodeSettings& settings, IncarnationId incarnation)
@@ -242,7 +188,7 @@
   if (is_of_ring(*route) && !position(exchange, *route, *context, placed, now))
     return;
   context->method = request.getMethod();
-  context->head_start = start_head(request, exchange.body().size());
+  context->head_start = make_common_head(request, exchange.body().size());
   context->body = std::move(exchange.body());
   const Duration time_left = parse_time_left(request.get(field::time_left, ""), route->give_up);
   auto proxied_request =
@@ -303,7 +249,7 @@
   std::string head = context.head_start + field::time_left + ": " + std::to_string(left) + "\r\n" +
                      field::meant_server + ": " + backend.id + "\r\n";
   if (context.ring)
-    head += ring_fields(*context.ring, backend.service);
+    head += make_ring_fields(*context.ring, backend.service);
   return head + "\r\n";
 }
 
@@ -412,50 +358,4 @@
   connections_.erase(found);
 }
 
-void BrokerLoop::read_alerts(const std::string& path) {
-  std::vector<AlertRule> routes;
-  if (!path.empty()) {
-    std::ifstream file(path);
-    std::ostringstream text;
-    text << file.rdbuf();
-    const Error found = file ? read_alert_rules(text.str(), routes)
-                             : make_error(ErrorCode::unreadable, "alert rules");
-    if (found) {
-      LOG(ERROR) << "alerts: " << path << " refused, the rules before it stay: " << found.text();
-      return;
-    }
-    LOG(INFO) << "alerts: " << routes.size() << " rules from " << path;
-  }
-  alert_rules_.replace(std::move(routes));
-}
-
-void BrokerLoop::show_gauges() const {
-  metrics().set(Metric::visits, static_cast<std::int64_t>(server_.count()));
-  metrics().set(Metric::proxied_requests, static_cast<std::int64_t>(contexts_.size()));
-  metrics().set(Metric::ready, is_ready());
-}
-
-void BrokerLoop::AlertClock::on_due(TimePoint now) {
-  traffic.show_gauges();
-  for (const std::string& turned : traffic.alerts_.evaluate(
-           [](Metric metric) { return static_cast<double>(metrics().get(metric)); }, now))
-    LOG(WARNING) << "alerts: " << turned;
-  if (!traffic.alerts_.is_empty())
-    traffic.timers_.set(*this, now + 1s);
-}
-
-void BrokerLoop::Readiness::on_request(ServerExchange& exchange, TimePoint now) {
-  const std::string& target = exchange.request().getURI();
-  if (target == row_of(Call::metrics).path) {
-    traffic_.show_gauges();
-    return exchange.answer(
-        {200, "OK", "Content-Type: text/plain; version=0.0.4\r\n", metrics().page()}, now);
-  }
-  if (target.substr(0, target.find('?')) != row_of(Call::readiness).path)
-    return exchange.answer(reply_of(ErrorCode::no_route), now);
-  if (traffic_.is_ready())
-    return exchange.answer({200, "OK", "", "ready\n"}, now);
-  exchange.answer(reply_of(traffic_.is_leaving_ ? ErrorCode::draining : ErrorCode::not_ready), now);
-}
-
 }  // namespace saddlewing
--- a/src/broker/broker_loop.h
+++ b/src/broker/broker_loop.h
@@ -22,9 +22,9 @@
 
 // An asker under way: an errand with the visit it answers, or the aid given to another broker.
 struct RequestContext final : Scheduled {
-  RequestContext(BrokerLoop& traffic, ExchangeId exchange) : traffic(traffic), exchange(exchange) {
+  RequestContext(BrokerLoop& loop, ExchangeId exchange) : loop(loop), exchange(exchange) {
   }
-  BrokerLoop& traffic;
+  BrokerLoop& loop;
   ExchangeId exchange;
   std::string routing_id;  // of an aid: whom to answer
   std::unique_ptr<Requester> requester;
@@ -52,7 +52,7 @@
 // A connection to a backend.
 class BackendConnection final : public HttpCallObserver, public Scheduled {
  public:
-  BackendConnection(BrokerLoop& traffic, BackendPointer backend);
+  BackendConnection(BrokerLoop& loop, BackendPointer backend);
   ~BackendConnection() override;
   bool ask(RequestContextPointer context, std::size_t part, TimePoint now);
   bool is_ended() const {
@@ -77,7 +77,7 @@
   void report_failure(ErrorCode kind, bool may_have_run) const;
   void read_load(const Poco::Net::HTTPResponse& response, TimePoint now);
 
-  BrokerLoop& traffic_;
+  BrokerLoop& loop_;
   const std::uint64_t serial_;
   BackendPointer backend_;
   HttpClientConnection caller_;
@@ -155,14 +155,14 @@
   friend struct RequestContext;
   class Readiness final : public HttpServer::Handler {
    public:
-    explicit Readiness(const BrokerLoop& traffic) : traffic_(traffic) {
+    explicit Readiness(const BrokerLoop& loop) : loop_(loop) {
     }
     void on_request(ServerExchange& exchange, TimePoint now) override;
     void on_gone(ServerExchange&) override {
     }
 
    private:
-    const BrokerLoop& traffic_;
+    const BrokerLoop& loop_;
   };
   void run();
   void take_view(ViewSnapshot view, TimePoint now);
@@ -170,9 +170,9 @@
   // A request that may run once and has to wait for a move of its key; in the end it is told to
   // come back.
   struct Parked final : Scheduled {
-    explicit Parked(BrokerLoop& traffic) : traffic(traffic) {
+    explicit Parked(BrokerLoop& loop) : loop(loop) {
     }
-    BrokerLoop& traffic;
+    BrokerLoop& loop;
     ExchangeId exchange;
     void on_due(TimePoint now) override;
   };
@@ -201,11 +201,11 @@
                    std::size_t bytes, TimePoint now);
   void serve_turns(std::size_t limit, TimePoint now);
   struct TurnClock final : Scheduled {
-    explicit TurnClock(BrokerLoop& traffic) : traffic(traffic) {
+    explicit TurnClock(BrokerLoop& loop) : loop(loop) {
     }
-    BrokerLoop& traffic;
+    BrokerLoop& loop;
     void on_due(TimePoint now) override {
-      traffic.serve_turns(max_waiting, now);
+      loop.serve_turns(max_waiting, now);
     }
   };
   static constexpr std::size_t max_waiting = 256;
@@ -216,15 +216,15 @@
   void count_edge(const std::string& service, const std::string& zone, EdgeClass kind,
                   Duration took, bool has_failed);
   struct EdgeClock final : Scheduled {
-    explicit EdgeClock(BrokerLoop& traffic) : traffic(traffic) {
+    explicit EdgeClock(BrokerLoop& loop) : loop(loop) {
     }
-    BrokerLoop& traffic;
+    BrokerLoop& loop;
     void on_due(TimePoint now) override;
   };
   struct AlertClock final : Scheduled {
-    explicit AlertClock(BrokerLoop& traffic) : traffic(traffic) {
+    explicit AlertClock(BrokerLoop& loop) : loop(loop) {
     }
-    BrokerLoop& traffic;
+    BrokerLoop& loop;
     void on_due(TimePoint now) override;
   };
 
--- a/src/broker/broker_program.cpp
+++ b/src/broker/broker_program.cpp
@@ -3,9 +3,9 @@
 
 #include <random>
 
+#include "broker/broker_loop.h"
 #include "commands/commands.h"
 #include "process/signals.h"
-#include "broker/broker_loop.h"
 
 namespace saddlewing {
 
@@ -18,31 +18,31 @@
   }
   std::random_device device;
   const IncarnationId incarnation{(static_cast<std::uint64_t>(device()) << 32) | device() | 1u};
-  BrokerLoop traffic(settings, incarnation);
+  BrokerLoop loop(settings, incarnation);
   ControlPlaneClient follower(
-      settings, incarnation, [&traffic](ViewSnapshot view) { traffic.show(std::move(view)); },
-      [&traffic](DelegationEvent event) { traffic.tell(std::move(event)); });
-  follower.set_ring([&traffic](RingNews news) { traffic.turn_ring(std::move(news)); });
+      settings, incarnation, [&loop](ViewSnapshot view) { loop.show(std::move(view)); },
+      [&loop](DelegationEvent event) { loop.tell(std::move(event)); });
+  follower.set_ring([&loop](RingNews news) { loop.turn_ring(std::move(news)); });
   if (settings.has_edges)
-    follower.set_edges([&traffic](EdgeNews news) { traffic.turn_edges(std::move(news)); });
-  traffic.set_follower(follower);
-  traffic.set_sender([&follower](DelegationMessage out) { return follower.send(std::move(out)); });
-  for (const Error& found : {follower.open(), traffic.open()})
+    follower.set_edges([&loop](EdgeNews news) { loop.turn_edges(std::move(news)); });
+  loop.set_follower(follower);
+  loop.set_sender([&follower](DelegationMessage out) { return follower.send(std::move(out)); });
+  for (const Error& found : {follower.open(), loop.open()})
     if (found) {
       LOG(ERROR) << "startup: " << found.text();
       return 1;
     }
-  traffic.read_alerts(settings.alert_rules);
+  loop.read_alerts(settings.alert_rules);
   follower.start();
-  traffic.start();
+  loop.start();
   LOG(INFO) << "broker: started as " << settings.node_name;
   signals.serve(startup_path, false, [&](const NodeSettings& changed) {
     follower.set_contacts(changed.contacts);
-    traffic.read_alerts(changed.alert_rules);
+    loop.read_alerts(changed.alert_rules);
   });
   follower.set_leaving();
-  traffic.leave();
-  traffic.join();
+  loop.leave();
+  loop.join();
   follower.stop();
   LOG(INFO) << "broker: ended";
   return 0;
--- a/src/broker/broker_ring.cpp
+++ b/src/broker/broker_ring.cpp
@@ -105,7 +105,7 @@
 }
 
 void BrokerLoop::Parked::on_due(TimePoint now) {
-  BrokerLoop& home = traffic;
+  BrokerLoop& home = loop;
   ServerExchange* waiting = home.server_.find(exchange);
   home.parked_.erase(exchange);  // ends this
   if (!waiting)
