--- a/src/coordination/raft/entry_delta.h
+++ b/src/coordination/raft/entry_delta.h
@@ -3,7 +3,7 @@
 #include <memory>
 #include <string>
 
-#include "protocol/frames.h"
+#include "protocol/raft_messages.h"
 #include "state/durable_store.h"
 
 namespace saddlewing {
--- a/src/coordination/raft/raft_node.h
+++ b/src/coordination/raft/raft_node.h
@@ -15,7 +15,7 @@
 
 #include "coordination/raft/entry_delta.h"
 #include "protocol/cluster_status.h"
-#include "protocol/frames.h"
+#include "protocol/raft_messages.h"
 #include "state/durable_store.h"
 #include "state/types.h"
 
--- a/src/protocol/raft_frames.cpp
+++ b/src/protocol/raft_messages.cpp
@@ -1,5 +1,5 @@
 // Messages of the agreement as they travel.
-#include "protocol/frames.h"
+#include "protocol/raft_messages.h"
 
 namespace saddlewing {
 
--- a/tests/protocol/frame_values.h
+++ b/tests/protocol/frame_values.h
@@ -5,6 +5,7 @@
 
 #include "protocol/cluster_status.h"
 #include "protocol/frames.h"
+#include "protocol/raft_messages.h"
 
 namespace saddlewing {
 
--- a/tests/state/configuration_test.cpp
+++ b/tests/state/configuration_test.cpp
@@ -1,6 +1,6 @@
 #include <criterion/criterion.h>
 
-#include "protocol/frames.h"
+#include "protocol/raft_messages.h"
 #include "state/configuration.h"
 #include "state/node_settings.h"
 
