--- a/src/coordination/raft/entry_delta.cpp
+++ b/src/coordination/raft/entry_delta.cpp
@@ -11,7 +11,7 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::size_t worth_packing = 512;
+constexpr std::size_t min_packed_bytes = 512;
 constexpr char is_plain = 0, is_packed = 1;  // the first byte on the way
 
 std::uint64_t digest_of(const std::string& body, const std::string& documents) {
@@ -60,7 +60,7 @@
   return reader.is_complete();
 }
 
-bool is_same_change(const EntryChunk& left, const EntryChunk& right) {
+bool is_same_delta(const EntryChunk& left, const EntryChunk& right) {
   return left.term == right.term && left.index == right.index &&
          left.base_term == right.base_term && left.base_index == right.base_index &&
          left.digest == right.digest && left.total == right.total;
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-EntryContentSnapshot content_of(EntrySnapshot entry) {
+EntryContentSnapshot make_entry_content(EntrySnapshot entry) {
   Writer writer;
   writer.number(entry->documents.size());
   for (const auto& [name, text] : entry->documents)
@@ -79,89 +79,91 @@
   return content;
 }
 
-EntryDeltaSnapshot make_change(const EntryContent& next, const EntryContent* base) {
-  auto change = std::make_shared<EntryDelta>();
-  EntryChunk& head = change->head;
+EntryDeltaSnapshot make_delta(const EntryContent& next, const EntryContent* base) {
+  auto delta = std::make_shared<EntryDelta>();
+  EntryChunk& header = delta->header;
   const Entry& entry = *next.entry;
-  head.term = entry.term;
-  head.index = entry.index;
-  head.version = entry.version;
-  head.core_size = entry.core_size;
-  head.members = entry.members;
-  head.outgoing = entry.outgoing;
-  head.digest = digest_of(entry.body, next.documents);
+  header.term = entry.term;
+  header.index = entry.index;
+  header.version = entry.version;
+  header.core_size = entry.core_size;
+  header.members = entry.members;
+  header.outgoing = entry.outgoing;
+  header.digest = digest_of(entry.body, next.documents);
   if (base) {
-    head.base_term = base->entry->term;
-    head.base_index = base->entry->index;
+    header.base_term = base->entry->term;
+    header.base_index = base->entry->index;
   }
   const std::string none;
   std::string middle;
-  head.body = compare(base ? base->entry->body : none, entry.body, middle);
-  head.documents = compare(base ? base->documents : none, next.documents, middle);
-  std::string packed = middle.size() >= worth_packing ? pack(middle) : std::string();
+  header.body = compare(base ? base->entry->body : none, entry.body, middle);
+  header.documents = compare(base ? base->documents : none, next.documents, middle);
+  std::string packed = middle.size() >= min_packed_bytes ? pack(middle) : std::string();
   const bool should_pack = !packed.empty() && packed.size() < middle.size();
-  change->bytes =
+  delta->bytes =
       std::string(1, should_pack ? is_packed : is_plain) + (should_pack ? packed : middle);
-  head.total = change->bytes.size();
-  return change;
+  header.total = delta->bytes.size();
+  return delta;
 }
 
-EntryChunk EntryDelta::piece(std::uint64_t offset) const {
-  EntryChunk piece = head;
-  piece.offset = offset;
-  piece.bytes = bytes.substr(offset, piece_bytes);
-  return piece;
+EntryChunk EntryDelta::chunk(std::uint64_t offset) const {
+  EntryChunk chunk = header;
+  chunk.offset = offset;
+  chunk.bytes = bytes.substr(offset, chunk_bytes);
+  return chunk;
 }
 
-ChunkAssembler::Step ChunkAssembler::take(const EntryChunk& piece, const EntrySnapshot& held,
-                                          EntrySnapshot& entry) {
-  if (piece.total == 0 || piece.total > max_content || piece.bytes.size() > piece.total ||
-      piece.offset > piece.total - piece.bytes.size())
-    return Step::unusable;
-  if (!is_same_change(piece, head_)) {
-    if (piece.offset != 0)
-      return Step::more;  // its beginning did not come: it is sent again from there
-    head_ = piece;
-    head_.bytes.clear();
+ChunkAssembler::Result ChunkAssembler::add(const EntryChunk& chunk, const EntrySnapshot& last_entry,
+                                           EntrySnapshot& entry) {
+  if (chunk.total == 0 || chunk.total > max_entry_bytes || chunk.bytes.size() > chunk.total ||
+      chunk.offset > chunk.total - chunk.bytes.size())
+    return Result::unusable;
+  if (!is_same_delta(chunk, header_)) {
+    if (chunk.offset != 0)
+      return Result::incomplete;  // its beginning did not come: it is sent again from there
+    header_ = chunk;
+    header_.bytes.clear();
     bytes_.clear();
   }
-  if (piece.offset > bytes_.size() || piece.offset + piece.bytes.size() <= bytes_.size())
-    return Step::more;
-  bytes_.append(piece.bytes, bytes_.size() - piece.offset);
-  return bytes_.size() < head_.total ? Step::more : finish(held, entry);
+  if (chunk.offset > bytes_.size() || chunk.offset + chunk.bytes.size() <= bytes_.size())
+    return Result::incomplete;
+  bytes_.append(chunk.bytes, bytes_.size() - chunk.offset);
+  return bytes_.size() < header_.total ? Result::incomplete : finish(last_entry, entry);
 }
 
-ChunkAssembler::Step ChunkAssembler::finish(const EntrySnapshot& held, EntrySnapshot& entry) {
-  const std::string travelled = std::exchange(bytes_, {});
-  const EntryChunk head = std::exchange(head_, {});
+ChunkAssembler::Result ChunkAssembler::finish(const EntrySnapshot& last_entry,
+                                              EntrySnapshot& entry) {
+  const std::string received = std::exchange(bytes_, {});
+  const EntryChunk header = std::exchange(header_, {});
   std::string middle;
-  if (travelled[0] == is_packed) {
-    if (!unpack(travelled.substr(1), max_content, middle))
-      return ++mismatches_, Step::unusable;
+  if (received[0] == is_packed) {
+    if (!unpack(received.substr(1), max_entry_bytes, middle))
+      return ++digest_mismatches_, Result::unusable;
   } else {
-    middle = travelled.substr(1);
+    middle = received.substr(1);
   }
-  const bool has_base = head.base_index.value || head.base_term.value;
-  if (has_base && (held->term != head.base_term || held->index != head.base_index))
-    return Step::unusable;
-  const EntryContentSnapshot base = content_of(has_base ? held : std::make_shared<const Entry>());
+  const bool has_base = header.base_index.value || header.base_term.value;
+  if (has_base && (last_entry->term != header.base_term || last_entry->index != header.base_index))
+    return Result::unusable;
+  const EntryContentSnapshot base =
+      make_entry_content(has_base ? last_entry : std::make_shared<const Entry>());
   auto read = std::make_shared<Entry>();
   std::string documents;
   std::string_view rest = middle;
   const bool is_restored =
-      restore(head.body, base->entry->body, rest, read->body) &&
-      restore(head.documents, has_base ? base->documents : std::string(), rest, documents);
-  if (!is_restored || digest_of(read->body, documents) != head.digest ||
+      restore(header.body, base->entry->body, rest, read->body) &&
+      restore(header.documents, has_base ? base->documents : std::string(), rest, documents);
+  if (!is_restored || digest_of(read->body, documents) != header.digest ||
       !read_documents(documents, *read))
-    return ++mismatches_, Step::unusable;
-  read->term = head.term;
-  read->index = head.index;
-  read->version = head.version;
-  read->core_size = head.core_size;
-  read->members = head.members;
-  read->outgoing = head.outgoing;
+    return ++digest_mismatches_, Result::unusable;
+  read->term = header.term;
+  read->index = header.index;
+  read->version = header.version;
+  read->core_size = header.core_size;
+  read->members = header.members;
+  read->outgoing = header.outgoing;
   entry = std::move(read);
-  return Step::whole;
+  return Result::complete;
 }
 
 }  // namespace saddlewing
--- a/src/protocol/raft_messages.cpp
+++ b/src/protocol/raft_messages.cpp
@@ -9,74 +9,74 @@
       .number(value.from.value)
       .text(value.address)
       .number(value.term.value);
-  writer.number(value.entry_term.value)
-      .number(value.entry_index.value)
-      .number(value.commit.value)
-      .number(value.round);
+  writer.number(value.last_log_term.value)
+      .number(value.last_log_index.value)
+      .number(value.commit_index.value)
+      .number(value.heartbeat_round);
   writer.number(value.is_granted)
-      .number(value.is_transfer)
+      .number(value.is_leadership_transfer)
       .number(value.is_removed)
       .number(value.is_confirmed)
-      .text(value.leader);
+      .text(value.leader_address);
   write_members(writer, value.members);
-  writer.number(value.piece_index.value)
-      .number(value.piece_end)
-      .number(value.wants_whole)
-      .number(value.piece.has_value());
-  if (!value.piece)
+  writer.number(value.chunk_entry_index.value)
+      .number(value.chunk_end_offset)
+      .number(value.wants_full_entry)
+      .number(value.chunk.has_value());
+  if (!value.chunk)
     return writer.take();
-  const EntryChunk& piece = *value.piece;
-  writer.number(piece.term.value)
-      .number(piece.index.value)
-      .number(piece.version.value)
-      .number(piece.core_size);
-  write_members(writer, piece.members);
-  write_members(writer, piece.outgoing);
-  writer.number(piece.base_term.value).number(piece.base_index.value);
-  for (const EntryChunk::Kept& kept : {piece.body, piece.documents})
+  const EntryChunk& chunk = *value.chunk;
+  writer.number(chunk.term.value)
+      .number(chunk.index.value)
+      .number(chunk.version.value)
+      .number(chunk.core_size);
+  write_members(writer, chunk.members);
+  write_members(writer, chunk.outgoing);
+  writer.number(chunk.base_term.value).number(chunk.base_index.value);
+  for (const EntryChunk::Kept& kept : {chunk.body, chunk.documents})
     writer.number(kept.prefix).number(kept.suffix).number(kept.changed);
-  writer.number(piece.digest).number(piece.total).number(piece.offset).text(piece.bytes);
+  writer.number(chunk.digest).number(chunk.total).number(chunk.offset).text(chunk.bytes);
   return writer.take();
 }
 
 bool decode(ByteReader& reader, RaftMessage& value) {
   const std::uint64_t type = reader.number();
-  if (type > static_cast<std::uint64_t>(RaftMessage::Type::left))
+  if (type > static_cast<std::uint64_t>(RaftMessage::Type::leave_reply))
     return false;
   value.type = static_cast<RaftMessage::Type>(type);
   value.from.value = reader.number();
   value.address = reader.text();
   value.term.value = reader.number();
-  value.entry_term.value = reader.number();
-  value.entry_index.value = reader.number();
-  value.commit.value = reader.number();
-  value.round = reader.number();
+  value.last_log_term.value = reader.number();
+  value.last_log_index.value = reader.number();
+  value.commit_index.value = reader.number();
+  value.heartbeat_round = reader.number();
   value.is_granted = reader.number();
-  value.is_transfer = reader.number();
+  value.is_leadership_transfer = reader.number();
   value.is_removed = reader.number();
   value.is_confirmed = reader.number();
-  value.leader = reader.text();
+  value.leader_address = reader.text();
   read_members(reader, value.members);
-  value.piece_index.value = reader.number();
-  value.piece_end = reader.number();
-  value.wants_whole = reader.number();
+  value.chunk_entry_index.value = reader.number();
+  value.chunk_end_offset = reader.number();
+  value.wants_full_entry = reader.number();
   if (!reader.number())
     return reader.is_complete();
-  EntryChunk& piece = value.piece.emplace();
-  piece.term.value = reader.number();
-  piece.index.value = reader.number();
-  piece.version.value = static_cast<std::int64_t>(reader.number());
-  piece.core_size = static_cast<std::uint32_t>(reader.number());
-  read_members(reader, piece.members);
-  read_members(reader, piece.outgoing);
-  piece.base_term.value = reader.number();
-  piece.base_index.value = reader.number();
-  for (EntryChunk::Kept* kept : {&piece.body, &piece.documents})
+  EntryChunk& chunk = value.chunk.emplace();
+  chunk.term.value = reader.number();
+  chunk.index.value = reader.number();
+  chunk.version.value = static_cast<std::int64_t>(reader.number());
+  chunk.core_size = static_cast<std::uint32_t>(reader.number());
+  read_members(reader, chunk.members);
+  read_members(reader, chunk.outgoing);
+  chunk.base_term.value = reader.number();
+  chunk.base_index.value = reader.number();
+  for (EntryChunk::Kept* kept : {&chunk.body, &chunk.documents})
     kept->prefix = reader.number(), kept->suffix = reader.number(), kept->changed = reader.number();
-  piece.digest = reader.number();
-  piece.total = reader.number();
-  piece.offset = reader.number();
-  piece.bytes = reader.text();
+  chunk.digest = reader.number();
+  chunk.total = reader.number();
+  chunk.offset = reader.number();
+  chunk.bytes = reader.text();
   return reader.is_complete();
 }
 
--- a/src/protocol/raft_messages.h
+++ b/src/protocol/raft_messages.h
@@ -36,37 +36,38 @@
 struct RaftMessage {
   enum class Type : std::uint64_t {
     pre_vote,
-    pre_voted,
-    vote,
-    voted,
-    append,
-    appended,
-    transfer,
+    pre_vote_reply,
+    request_vote,
+    request_vote_reply,
+    append_entries,
+    append_entries_reply,
+    timeout_now,
     join,
-    joined,
+    join_reply,
     leave,
-    left
+    leave_reply
   };
   Type type{};
   MemberId from;
   std::string address;
   Term term;
-  Term entry_term;  // the sender's last entry
-  Index entry_index;
-  Index commit;  // of append: the newest entry of this term that is committed
-  std::uint64_t round = 0;
+  Term last_log_term;  // the sender's last entry
+  Index last_log_index;
+  Index commit_index;  // of append: the newest entry of this term that is committed
+  std::uint64_t heartbeat_round = 0;
   bool is_granted = false;
-  bool is_transfer = false;         // the vote follows a hand-over: a live leader is no objection
+  bool is_leadership_transfer =
+      false;                        // the vote follows a hand-over: a live leader is no objection
   bool is_removed = false;          // the receiver is no member any more
   bool is_confirmed = false;        // of append: a majority answered the leader of late
-  std::optional<EntryChunk> piece;  // with append, while the follower lacks the entry
+  std::optional<EntryChunk> chunk;  // with append, while the follower lacks the entry
   // With appended: how far the entry on its way came; is_granted says that the entry named above is
   // on disk.
-  Index piece_index;
-  std::uint64_t piece_end = 0;
-  bool wants_whole = false;     // what came built on an entry that is not held
-  std::vector<Member> members;  // with joined
-  std::string leader;           // with joined: its inner address
+  Index chunk_entry_index;
+  std::uint64_t chunk_end_offset = 0;
+  bool wants_full_entry = false;  // what came built on an entry that is not held
+  std::vector<Member> members;    // with joined
+  std::string leader_address;     // with joined: its inner address
 };
 
 std::string encode(const FrameHead& head, const RaftMessage& value);
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -26,12 +26,12 @@
                          const std::string& address) {
   RaftOptions options;
   options.address = address;
-  options.heartbeat = settings.heartbeat;
-  options.election = settings.election;
-  options.draw = incarnation.value;
-  options.voters = static_cast<std::uint32_t>(settings.can_lose) * 2 + 1;
-  options.silent = replacement_timeout(settings.catch_up, settings.election);
-  options.leave_wait = std::min(settings.catch_up / 2, settings.grace / 3);
+  options.heartbeat_interval = settings.heartbeat;
+  options.election_timeout = settings.election;
+  options.random_seed = incarnation.value;
+  options.voter_count = static_cast<std::uint32_t>(settings.can_lose) * 2 + 1;
+  options.voter_timeout = replacement_timeout(settings.catch_up, settings.election);
+  options.leave_timeout = std::min(settings.catch_up / 2, settings.grace / 3);
   return options;
 }
 
@@ -164,7 +164,7 @@
       steps_.note(call->version, "taken", now);
     calls_.add(call->is_read, call->version, std::move(call->body), call->token, now + call_wait);
   } else if (const auto* saved = std::get_if<Saved>(&event)) {
-    raft_.finish_save(saved->serial, saved->is_saved, now);
+    raft_.handle_save_result(saved->serial, saved->is_saved, now);
   } else if (const auto* listed = std::get_if<Listed>(&event)) {
     if (is_observing_)
       registry_.observe(listed->entries, now);
@@ -322,7 +322,7 @@
 }
 
 void ControlLoop::handle_output(TimePoint now) {
-  RaftNode::Output output = raft_.take(now);
+  RaftNode::Output output = raft_.take_output(now);
   if (output.save && !storage_->save(std::move(*output.save)))
     LOG(ERROR) << "agree: disk thread is behind";
   for (const auto& outgoing : output.messages)
@@ -335,7 +335,7 @@
     PendingCalls::Call* call = calls_.find(result.token);
     if (!call)
       continue;
-    if (result.verdict == RaftNode::Verdict::done)
+    if (result.outcome == RaftNode::Outcome::done)
       finish_call(result.token, true, result.state ? result.state->body : "");
     else if (call->sent_to == address_)
       call->sent_to.clear();
--- a/src/state/durable_store.cpp
+++ b/src/state/durable_store.cpp
@@ -64,8 +64,8 @@
 
 // Later saves of one member never go back in this.
 auto age_of(const PersistentState& persistent) {
-  return std::tuple(persistent.term, persistent.entry->term, persistent.entry->index,
-                    persistent.vote.value != 0);
+  return std::tuple(persistent.current_term, persistent.entry->term, persistent.entry->index,
+                    persistent.voted_for.value != 0);
 }
 
 // A file of before the slots has no seal, so LMDB does not open it: its one record is found by its
@@ -109,8 +109,8 @@
   Writer writer;
   writer.number(record_format)
       .number(persistent.self.value)
-      .number(persistent.term.value)
-      .number(persistent.vote.value);
+      .number(persistent.current_term.value)
+      .number(persistent.voted_for.value);
   write_entry(writer, *persistent.entry);
   writer.number(checksum(record_format, writer.bytes()));
   return writer.take();
@@ -132,8 +132,8 @@
   ByteReader reader(body.substr(8));
   PersistentState read;
   read.self.value = reader.number();
-  read.term.value = reader.number();
-  read.vote.value = reader.number();
+  read.current_term.value = reader.number();
+  read.voted_for.value = reader.number();
   auto entry = std::make_shared<Entry>();
   read_entry(reader, *entry);
   read.entry = std::move(entry);
--- a/src/state/durable_store.h
+++ b/src/state/durable_store.h
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <vector>
 
-#include "state/file_system.h"
 #include "state/error.h"
+#include "state/file_system.h"
 #include "state/types.h"
 
 namespace saddlewing {
@@ -36,11 +36,12 @@
 };
 using EntrySnapshot = std::shared_ptr<const Entry>;
 
-// Invariant: `self` never changes once written; `term` never falls; `vote` is of `term`.
+// Invariant: `self` never changes once written; `current_term` never falls; `voted_for` is of
+// `current_term`.
 struct PersistentState {
   MemberId self;
-  Term term;
-  MemberId vote;
+  Term current_term;
+  MemberId voted_for;
   EntrySnapshot entry;
 };
 
--- a/tests/coordination/raft/entry_delta_test.cpp
+++ b/tests/coordination/raft/entry_delta_test.cpp
@@ -1,4 +1,4 @@
-// Entries on their way: pieces, bases, digests; members that catch up while large changes follow
+// Entries on their way: chunks, bases, digests; members that catch up while large changes follow
 // each other.
 #include <criterion/criterion.h>
 
@@ -55,72 +55,72 @@
 }  // namespace
 
 Test(entry_change, only_what_differs_travels) {
-  const auto before = content_of(entry_of(7, large_body(300000, 7), "sheet")),
-             after = content_of(entry_of(8, large_body(300000, 8), "other sheet"));
-  const auto change = make_change(*after, before.get());
-  cr_expect(change->bytes.size() < 64,
+  const auto before = make_entry_content(entry_of(7, large_body(300000, 7), "sheet")),
+             after = make_entry_content(entry_of(8, large_body(300000, 8), "other sheet"));
+  const auto delta = make_delta(*after, before.get());
+  cr_expect(delta->bytes.size() < 64,
             "two places, in the configuration and in a sheet: what differs travels, no more");
   const auto document_alone =
-      make_change(*content_of(entry_of(8, large_body(300000, 7), "other")), before.get());
+      make_delta(*make_entry_content(entry_of(8, large_body(300000, 7), "other")), before.get());
   cr_expect(document_alone->bytes.size() < 64);
-  ChunkAssembler assembly;
+  ChunkAssembler assembler;
   EntrySnapshot entry;
-  auto step = ChunkAssembler::Step::more;
-  for (std::uint64_t offset = 0; offset < change->bytes.size(); offset += piece_bytes) {
-    cr_assert(step == ChunkAssembler::Step::more);
-    step = assembly.take(change->piece(offset), before->entry, entry);
+  auto result = ChunkAssembler::Result::incomplete;
+  for (std::uint64_t offset = 0; offset < delta->bytes.size(); offset += chunk_bytes) {
+    cr_assert(result == ChunkAssembler::Result::incomplete);
+    result = assembler.add(delta->chunk(offset), before->entry, entry);
   }
-  cr_assert(step == ChunkAssembler::Step::whole);
+  cr_assert(result == ChunkAssembler::Result::complete);
   cr_expect(is_same(*entry, *after->entry));
 }
 
-// Each piece lost, doubled, late or damaged in turn: never a wrong entry.
+// Each chunk lost, doubled, late or damaged in turn: never a wrong entry.
 Test(entry_change, a_piece_that_is_lost_doubled_or_damaged_brings_no_wrong_entry) {
-  const auto next = content_of(entry_of(8, noise(70000, 3)));
-  const auto change = make_change(*next, nullptr);
-  const std::size_t count = (change->bytes.size() + piece_bytes - 1) / piece_bytes;
+  const auto next = make_entry_content(entry_of(8, noise(70000, 3)));
+  const auto delta = make_delta(*next, nullptr);
+  const std::size_t count = (delta->bytes.size() + chunk_bytes - 1) / chunk_bytes;
   for (std::size_t position = 0; position < count; ++position)
-    for (int strike = 0; strike < 5; ++strike) {
-      ChunkAssembler assembly;
+    for (int fault = 0; fault < 5; ++fault) {
+      ChunkAssembler assembler;
       EntrySnapshot entry;
-      auto last = ChunkAssembler::Step::more;
+      auto last = ChunkAssembler::Result::incomplete;
       bool is_complete = false;
       for (std::size_t at = 0; at < count; ++at) {
-        EntryChunk piece = change->piece(at * piece_bytes);
-        if (at == position && strike == 0)
+        EntryChunk chunk = delta->chunk(at * chunk_bytes);
+        if (at == position && fault == 0)
           continue;  // lost
-        if (at == position && strike == 1)
-          last = assembly.take(piece, next->entry, entry);  // doubled
-        if (at == position && strike == 2)
-          piece.bytes[piece.bytes.size() / 2] ^= 1;  // damaged
-        if (at == position && strike == 3)
-          piece.bytes.pop_back();  // ends early
-        if (at == position && strike == 4)
-          piece.offset += 1;
-        last = assembly.take(piece, next->entry, entry);
+        if (at == position && fault == 1)
+          last = assembler.add(chunk, next->entry, entry);  // doubled
+        if (at == position && fault == 2)
+          chunk.bytes[chunk.bytes.size() / 2] ^= 1;  // damaged
+        if (at == position && fault == 3)
+          chunk.bytes.pop_back();  // ends early
+        if (at == position && fault == 4)
+          chunk.offset += 1;
+        last = assembler.add(chunk, next->entry, entry);
         if (!entry)
           continue;
         is_complete = true;
         cr_expect(is_same(*entry, *next->entry));
       }
-      cr_expect(is_complete == (strike == 1), "piece %zu, strike %d", position, strike);
-      if (strike == 2)
-        cr_expect(last == ChunkAssembler::Step::unusable && assembly.mismatches() == 1);
+      cr_expect(is_complete == (fault == 1), "piece %zu, strike %d", position, fault);
+      if (fault == 2)
+        cr_expect(last == ChunkAssembler::Result::unusable && assembler.digest_mismatches() == 1);
     }
 }
 
 Test(entry_change, one_that_builds_on_another_entry_is_asked_for_whole) {
-  const auto base = content_of(entry_of(7, "seven, seven")),
-             next = content_of(entry_of(8, "seven, eight"));
-  ChunkAssembler assembly;
+  const auto base = make_entry_content(entry_of(7, "seven, seven")),
+             next = make_entry_content(entry_of(8, "seven, eight"));
+  ChunkAssembler assembler;
   EntrySnapshot entry;
-  cr_expect(assembly.take(make_change(*next, base.get())->piece(0), entry_of(6, "six"), entry) ==
-            ChunkAssembler::Step::unusable);
+  cr_expect(assembler.add(make_delta(*next, base.get())->chunk(0), entry_of(6, "six"), entry) ==
+            ChunkAssembler::Result::unusable);
   // The same term and index, and yet another content: the digest tells.
-  cr_expect(assembly.take(make_change(*next, base.get())->piece(0), entry_of(7, "never, seven"),
-                          entry) == ChunkAssembler::Step::unusable);
-  cr_expect(assembly.take(make_change(*next, nullptr)->piece(0), entry_of(6, "six"), entry) ==
-            ChunkAssembler::Step::whole);
+  cr_expect(assembler.add(make_delta(*next, base.get())->chunk(0), entry_of(7, "never, seven"),
+                          entry) == ChunkAssembler::Result::unusable);
+  cr_expect(assembler.add(make_delta(*next, nullptr)->chunk(0), entry_of(6, "six"), entry) ==
+            ChunkAssembler::Result::complete);
 }
 
 // A follower says that it holds an entry before its disk has it, and its process ends there: the
@@ -228,18 +228,18 @@
       };
       for (int count = 0; count < row.changes; ++count)
         change();
-      const std::uint64_t sent = cluster.piece_bytes_sent();
+      const std::uint64_t sent = cluster.chunk_bytes_sent();
       cluster.start(away);
       const TimePoint back = cluster.now();
-      TimePoint lead_heard = back;
+      TimePoint last_leader_contact = back;
       Duration max_silence{0}, caught_up{0};
       const std::string back_at_version = large_body(row.size, version);
       while (cluster.now() - back < Duration(4000)) {
         change();
         const auto& raft = *cluster.at(away).raft;
         if (raft.leader_address() == leader)
-          lead_heard = cluster.now();
-        max_silence = std::max(max_silence, elapsed(lead_heard, cluster.now()));
+          last_leader_contact = cluster.now();
+        max_silence = std::max(max_silence, elapsed(last_leader_contact, cluster.now()));
         cr_assert(raft.role() == RaftNode::Role::follower ||
                   raft.role() == RaftNode::Role::pre_candidate);
         if (caught_up == Duration(0) && raft.committed() &&
@@ -253,10 +253,10 @@
           "%zu bytes, %d changes, %zu bytes/ms, %s: caught up after %d ms, %d KB sent meanwhile",
           row.size, row.changes, row.bytes_per_ms, is_wiped ? "wiped" : "with its disk",
           static_cast<int>(caught_up.count()),
-          static_cast<int>((cluster.piece_bytes_sent() - sent) / 1000));
+          static_cast<int>((cluster.chunk_bytes_sent() - sent) / 1000));
       // The whole travels once, and beyond that what changes.
-      cr_expect(cluster.piece_bytes_sent() - sent < row.size * 3 / 2 + 400000, "%d KB",
-                static_cast<int>((cluster.piece_bytes_sent() - sent) / 1000));
+      cr_expect(cluster.chunk_bytes_sent() - sent < row.size * 3 / 2 + 400000, "%d KB",
+                static_cast<int>((cluster.chunk_bytes_sent() - sent) / 1000));
       cr_expect(caught_up > Duration(0), "%zu bytes, %d changes, wiped %d", row.size, row.changes,
                 is_wiped);
       cr_expect(max_silence < Duration(700), "%d ms without a leader",
--- a/tests/coordination/raft/raft_cluster_fixture.h
+++ b/tests/coordination/raft/raft_cluster_fixture.h
@@ -26,7 +26,7 @@
     std::optional<RaftNode::Save> pending;
     std::map<std::uint64_t, RaftNode::Result> results;
   };
-  struct Flying {
+  struct InFlight {
     TimePoint due;
     std::string to;
     RaftMessage message;
@@ -67,13 +67,13 @@
     Node& node = nodes_[address];
     node.address = address;
     if (!node.has_disk) {  // an empty disk: a fresh id asks to join
-      node.disk = {MemberId{1000 + ++drawn_}, {}, {}, std::make_shared<Entry>()};
+      node.disk = {MemberId{1000 + ++last_seed_}, {}, {}, std::make_shared<Entry>()};
       node.has_disk = true;
     }
     RaftOptions options;
     options.address = address;
-    options.voters = voters;
-    options.draw = ++drawn_;
+    options.voter_count = voter_count;
+    options.random_seed = ++last_seed_;
     node.pending.reset();
     node.raft = std::make_unique<RaftNode>(node.disk, options, founders_, now_);
   }
@@ -99,24 +99,24 @@
   void cut(const std::string& address) {
     cut_.insert(address);
   }
-  void cut_way(const std::string& from, const std::string& to) {
-    cut_ways_.insert({from, to});
+  void cut_link(const std::string& from, const std::string& to) {
+    cut_links_.insert({from, to});
   }
   void heal() {
-    cut_.clear(), cut_ways_.clear();
+    cut_.clear(), cut_links_.clear();
   }
 
   void run(Duration span) {
     for (const TimePoint end = now_ + span; now_ < end; now_ += 5ms) {
-      std::vector<Flying> arrived;
-      for (auto position = flying_.begin(); position != flying_.end();)
+      std::vector<InFlight> arrived;
+      for (auto position = in_flight_.begin(); position != in_flight_.end();)
         if (position->due <= now_)
-          arrived.push_back(std::move(*position)), position = flying_.erase(position);
+          arrived.push_back(std::move(*position)), position = in_flight_.erase(position);
         else
           ++position;
-      for (const Flying& flying : arrived)
-        if (Node& node = nodes_[flying.to]; node.raft)
-          node.raft->receive(flying.message, now_);
+      for (const InFlight& message_in_flight : arrived)
+        if (Node& node = nodes_[message_in_flight.to]; node.raft)
+          node.raft->receive(message_in_flight.message, now_);
       for (auto& [address, node] : nodes_) {
         if (!node.raft)
           continue;
@@ -124,7 +124,7 @@
           node.disk = node.pending->persistent;
           const std::uint64_t serial = node.pending->serial;
           node.pending.reset();
-          node.raft->finish_save(serial, true, now_);
+          node.raft->handle_save_result(serial, true, now_);
         }
         node.raft->tick(now_);
         flush(node);
@@ -162,7 +162,7 @@
   }
   bool is_done(const std::string& address, std::uint64_t token) {
     const auto found = at(address).results.find(token);
-    return found != at(address).results.end() && found->second.verdict == RaftNode::Verdict::done;
+    return found != at(address).results.end() && found->second.outcome == RaftNode::Outcome::done;
   }
   std::string body_at(const std::string& address) {
     const Node& node = at(address);
@@ -172,18 +172,18 @@
                                                                           const RaftMessage&) {
     return false;
   };
-  Duration way{12};
-  std::uint32_t voters = 0;
+  Duration latency{12};
+  std::uint32_t voter_count = 0;
   std::size_t bytes_per_ms = 0;  // of each way between two; 0: no bound
-  std::uint64_t piece_bytes_sent() const {
-    return piece_bytes_sent_;
+  std::uint64_t chunk_bytes_sent() const {
+    return chunk_bytes_sent_;
   }
   std::uint64_t sent() const {
     return sent_;
   }
 
   void flush(Node& node) {
-    RaftNode::Output output = node.raft->take(now_);
+    RaftNode::Output output = node.raft->take_output(now_);
     if (output.save)
       node.pending = std::move(output.save), node.save_due = now_ + node.save_time;
     for (auto& result : output.results)
@@ -191,18 +191,18 @@
     for (auto& outgoing : output.messages) {
       const std::uint64_t number = ++sent_;
       if (cut_.contains(node.address) || cut_.contains(outgoing.to) ||
-          cut_ways_.contains({node.address, outgoing.to}) || should_drop(number, outgoing.message))
+          cut_links_.contains({node.address, outgoing.to}) || should_drop(number, outgoing.message))
         continue;
-      flying_.push_back(
-          {leaves_at(node.address, outgoing) + way, outgoing.to, std::move(outgoing.message)});
+      in_flight_.push_back(
+          {leaves_at(node.address, outgoing) + latency, outgoing.to, std::move(outgoing.message)});
     }
   }
 
  private:
   // When its last byte is on the way: behind what was sent there before.
-  TimePoint leaves_at(const std::string& from, const RaftNode::Outgoing& outgoing) {
-    const std::size_t bytes = outgoing.message.piece ? outgoing.message.piece->bytes.size() : 0;
-    piece_bytes_sent_ += bytes;
+  TimePoint leaves_at(const std::string& from, const RaftNode::OutgoingMessage& outgoing) {
+    const std::size_t bytes = outgoing.message.chunk ? outgoing.message.chunk->bytes.size() : 0;
+    chunk_bytes_sent_ += bytes;
     if (!bytes_per_ms)
       return now_;
     TimePoint& free = free_[{from, outgoing.to}];
@@ -213,12 +213,12 @@
   TimePoint now_ = TimePoint{} + 1000s;
   std::vector<std::string> founders_;
   std::map<std::string, Node> nodes_;
-  std::deque<Flying> flying_;
+  std::deque<InFlight> in_flight_;
   std::set<std::string> cut_;
-  std::set<std::pair<std::string, std::string>> cut_ways_;
+  std::set<std::pair<std::string, std::string>> cut_links_;
   std::map<std::pair<std::string, std::string>, TimePoint> free_;
-  std::uint64_t piece_bytes_sent_ = 0;
-  std::uint64_t drawn_ = 0, token_ = 0, sent_ = 0;
+  std::uint64_t chunk_bytes_sent_ = 0;
+  std::uint64_t last_seed_ = 0, token_ = 0, sent_ = 0;
 };
 
 }  // namespace saddlewing::tests
--- a/tests/coordination/raft/raft_membership_test.cpp
+++ b/tests/coordination/raft/raft_membership_test.cpp
@@ -224,7 +224,7 @@
   cluster.run(500ms);
   const std::string leader = cluster.leader();
   for (const std::string& address : cluster.founders())
-    cluster.cut_way(address, leader);
+    cluster.cut_link(address, leader);
   const TimePoint from = cluster.now();
   bool is_relied_on = true;
   while (is_relied_on && cluster.now() - from < Duration(4000)) {
@@ -250,11 +250,11 @@
   const std::vector<std::string> others = running(cluster, leader);
   cluster.wipe(others[0]);
   cluster.should_drop = [](std::uint64_t, const RaftMessage& message) {
-    return message.piece.has_value();
+    return message.chunk.has_value();
   };
   cluster.start(others[0]);
   cluster.run(300ms);
-  cluster.cut_way(leader, others[1]);
+  cluster.cut_link(leader, others[1]);
   for (const TimePoint end = cluster.now() + 2500ms; cluster.now() < end; cluster.run(5ms))
     cr_assert(!cluster.at(others[1]).raft->status(cluster.now()).is_removed);
 }
@@ -264,18 +264,18 @@
   Cluster cluster(3);
   cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
   cluster.run(500ms);
-  const std::string leader = cluster.leader(), told = running(cluster).front(),
+  const std::string leader = cluster.leader(), removed = running(cluster).front(),
                     other = running(cluster)[1];
   cluster.stop(leader);
   cluster.stop(other);
   RaftMessage message;
-  message.type = RaftMessage::Type::pre_voted;
+  message.type = RaftMessage::Type::pre_vote_reply;
   message.from = cluster.at(other).disk.self;
   message.address = other;
-  message.term = cluster.at(told).raft->term();
+  message.term = cluster.at(removed).raft->term();
   message.is_removed = true;
-  cluster.at(told).raft->receive(message, cluster.now());
-  cr_assert(cluster.at(told).raft->status(cluster.now()).is_removed);
+  cluster.at(removed).raft->receive(message, cluster.now());
+  cr_assert(cluster.at(removed).raft->status(cluster.now()).is_removed);
   cluster.run(4000ms);
-  cr_expect(!cluster.at(told).raft->status(cluster.now()).is_removed);
+  cr_expect(!cluster.at(removed).raft->status(cluster.now()).is_removed);
 }
--- a/tests/coordination/raft/raft_node_test.cpp
+++ b/tests/coordination/raft/raft_node_test.cpp
@@ -180,14 +180,14 @@
   cluster.cut(leader);
   cluster.at(leader).raft->read_index(901, cluster.now());
   cluster.run(4000ms);
-  cr_expect(cluster.at(leader).results[901].verdict == RaftNode::Verdict::failed);
+  cr_expect(cluster.at(leader).results[901].outcome == RaftNode::Outcome::failed);
 }
 
 Test(raft, handing_over_takes_less_than_an_election) {
   Cluster cluster(3);
   cluster.run_until([&] { return cluster.has_leader(); });
   const std::string leader = cluster.leader();
-  cluster.at(leader).raft->transfer(cluster.now());
+  cluster.at(leader).raft->transfer_leadership(cluster.now());
   cluster.flush(cluster.at(leader));
   cr_expect(
       cluster.run_until([&] { return cluster.has_leader() && cluster.leader() != leader; }, 300ms));
@@ -231,7 +231,7 @@
 
 Test(raft, a_leader_is_found_over_long_ways) {
   Cluster cluster(3);
-  cluster.way = Duration(150);
+  cluster.latency = Duration(150);
   cr_assert(cluster.run_until([&] { return cluster.has_leader(); }, 20000ms));
   const Term term = cluster.at(cluster.leader()).raft->term();
   cluster.run(5000ms);
--- a/tests/protocol/carried_format_test.cpp
+++ b/tests/protocol/carried_format_test.cpp
@@ -78,24 +78,25 @@
          left.documents == right.documents;
 }
 
-// The piece as a receiver takes it whole, on what it holds.
-ChunkAssembler::Step assemble(EntryChunk piece, std::string bytes, const EntrySnapshot& held,
-                              EntrySnapshot& entry) {
-  piece.bytes = std::move(bytes);
-  piece.total = piece.bytes.size();
-  ChunkAssembler assembly;
-  return assembly.take(piece, held, entry);
+// The chunk as a receiver takes it whole, on what it holds.
+ChunkAssembler::Result assemble(EntryChunk chunk, std::string bytes,
+                                const EntrySnapshot& last_entry, EntrySnapshot& entry) {
+  chunk.bytes = std::move(bytes);
+  chunk.total = chunk.bytes.size();
+  ChunkAssembler assembler;
+  return assembler.add(chunk, last_entry, entry);
 }
 
-void check_assembly(const std::string& name, const EntryChunk& head, const EntrySnapshot& held,
-                    const Entry& expected) {
+void check_assembly(const std::string& name, const EntryChunk& head,
+                    const EntrySnapshot& last_entry, const Entry& expected) {
   const std::string bytes = read_fixture(carried(name));
   EntrySnapshot read;
-  cr_assert(assemble(head, bytes, held, read) == ChunkAssembler::Step::whole, "%s", name.c_str());
+  cr_assert(assemble(head, bytes, last_entry, read) == ChunkAssembler::Result::complete, "%s",
+            name.c_str());
   cr_expect(is_same(*read, expected), "%s", name.c_str());
   const auto decodes = [&](const std::string& some) {
     EntrySnapshot entry;
-    return assemble(head, some, held, entry) == ChunkAssembler::Step::whole;
+    return assemble(head, some, last_entry, entry) == ChunkAssembler::Result::complete;
   };
   expect_prefixes_refused(name, bytes, decodes);
   decode_random_bytes({}, bytes, decodes);
@@ -206,14 +207,15 @@
 Test(carried_format, entries_whole_and_as_changes) {
   const auto base = std::make_shared<const Entry>(entry_of(651, "body of the first entry"));
   const auto next = std::make_shared<const Entry>(entry_of(652, "body of the second entry"));
-  const EntryContentSnapshot base_content = content_of(base), next_content = content_of(next);
+  const EntryContentSnapshot base_content = make_entry_content(base),
+                             next_content = make_entry_content(next);
   expect_fixture(carried("entry_documents"), next_content->documents);
-  const EntryDeltaSnapshot whole = make_change(*next_content, nullptr);
+  const EntryDeltaSnapshot whole = make_delta(*next_content, nullptr);
   expect_fixture(carried("entry_whole"), whole->bytes);
-  check_assembly("entry_whole", whole->head, std::make_shared<const Entry>(), *next);
-  const EntryDeltaSnapshot change = make_change(*next_content, base_content.get());
+  check_assembly("entry_whole", whole->header, std::make_shared<const Entry>(), *next);
+  const EntryDeltaSnapshot change = make_delta(*next_content, base_content.get());
   expect_fixture(carried("entry_change"), change->bytes);
-  check_assembly("entry_change", change->head, base, *next);
+  check_assembly("entry_change", change->header, base, *next);
 }
 
 // Packed bytes are the library's, which may pack otherwise in another release; all that counts is
@@ -221,8 +223,8 @@
 Test(carried_format, packed_entries_and_texts) {
   const Entry large = entry_of(653, std::string(2000, 'x') + "end");
   const EntryDeltaSnapshot whole =
-      make_change(*content_of(std::make_shared<const Entry>(large)), nullptr);
-  check_assembly("entry_packed", whole->head, std::make_shared<const Entry>(), large);
+      make_delta(*make_entry_content(std::make_shared<const Entry>(large)), nullptr);
+  check_assembly("entry_packed", whole->header, std::make_shared<const Entry>(), large);
   const std::string packed = read_fixture(carried("packed_text"));
   std::string text;
   cr_expect(unpack(packed, 4096, text) && text == std::string(3000, 'y') + "end");
--- a/tests/protocol/cluster_status_test.cpp
+++ b/tests/protocol/cluster_status_test.cpp
@@ -104,7 +104,7 @@
   cr_assert(node.pending.has_value());
   const std::uint64_t serial = node.pending->serial;
   node.pending.reset();
-  node.raft->finish_save(serial, false, cluster.now());
+  node.raft->handle_save_result(serial, false, cluster.now());
   status = status_of(cluster, slow);
   cr_expect(status.is_save_failing && !status.is_save_stuck && status.saving == 0);
   node.is_stuck = false;
--- a/tests/protocol/frame_values.h
+++ b/tests/protocol/frame_values.h
@@ -20,11 +20,12 @@
 
 inline bool operator==(const RaftMessage& left, const RaftMessage& right) {
   const auto fields = [](const RaftMessage& value) {
-    return std::tie(value.type, value.from, value.address, value.term, value.entry_term,
-                    value.entry_index, value.commit, value.round, value.is_granted,
-                    value.is_transfer, value.is_removed, value.is_confirmed, value.piece,
-                    value.piece_index, value.piece_end, value.wants_whole, value.members,
-                    value.leader);
+    return std::tie(value.type, value.from, value.address, value.term, value.last_log_term,
+                    value.last_log_index, value.commit_index, value.heartbeat_round,
+                    value.is_granted, value.is_leadership_transfer, value.is_removed,
+                    value.is_confirmed, value.chunk, value.chunk_entry_index,
+                    value.chunk_end_offset, value.wants_full_entry, value.members,
+                    value.leader_address);
   };
   return fields(left) == fields(right);
 }
--- a/tests/protocol/store_format_test.cpp
+++ b/tests/protocol/store_format_test.cpp
@@ -41,7 +41,8 @@
 }
 
 void expect_same(const PersistentState& read, const PersistentState& expected) {
-  cr_expect(read.self == expected.self && read.term == expected.term && read.vote == expected.vote);
+  cr_expect(read.self == expected.self && read.current_term == expected.current_term &&
+            read.voted_for == expected.voted_for);
   const Entry &entry = *read.entry, &other = *expected.entry;
   cr_expect(entry.term == other.term && entry.index == other.index &&
             entry.version == other.version);
--- a/tests/protocol/wire_format_raft_test.cpp
+++ b/tests/protocol/wire_format_raft_test.cpp
@@ -15,31 +15,36 @@
 };
 
 constexpr NamedType raft_types[] = {
-    {Type::pre_vote, "raft_pre_vote"},        {Type::pre_voted, "raft_pre_vote_answer"},
-    {Type::vote, "raft_request_vote"},        {Type::voted, "raft_request_vote_answer"},
-    {Type::append, "raft_append_entries"},    {Type::appended, "raft_append_entries_answer"},
-    {Type::transfer, "raft_transfer_leader"}, {Type::join, "raft_join"},
-    {Type::joined, "raft_join_answer"},       {Type::leave, "raft_leave"},
-    {Type::left, "raft_leave_answer"},
+    {Type::pre_vote, "raft_pre_vote"},
+    {Type::pre_vote_reply, "raft_pre_vote_answer"},
+    {Type::request_vote, "raft_request_vote"},
+    {Type::request_vote_reply, "raft_request_vote_answer"},
+    {Type::append_entries, "raft_append_entries"},
+    {Type::append_entries_reply, "raft_append_entries_answer"},
+    {Type::timeout_now, "raft_transfer_leader"},
+    {Type::join, "raft_join"},
+    {Type::join_reply, "raft_join_answer"},
+    {Type::leave, "raft_leave"},
+    {Type::leave_reply, "raft_leave_answer"},
 };
 
-EntryChunk full_piece() {
-  EntryChunk piece;
-  piece.term = {201};
-  piece.index = {202};
-  piece.version = {203};
-  piece.core_size = 204;
-  piece.members = {{MemberId{205}, "10.0.0.1:7400"}, {MemberId{206}, "10.0.0.2:7400"}};
-  piece.outgoing = {{MemberId{207}, "10.0.0.3:7400"}};
-  piece.base_term = {208};
-  piece.base_index = {209};
-  piece.body = {210, 211, 212};
-  piece.documents = {213, 214, 215};
-  piece.digest = 216;
-  piece.total = 217;
-  piece.offset = 218;
-  piece.bytes = std::string("piece \0 bytes", 13);
-  return piece;
+EntryChunk full_chunk() {
+  EntryChunk chunk;
+  chunk.term = {201};
+  chunk.index = {202};
+  chunk.version = {203};
+  chunk.core_size = 204;
+  chunk.members = {{MemberId{205}, "10.0.0.1:7400"}, {MemberId{206}, "10.0.0.2:7400"}};
+  chunk.outgoing = {{MemberId{207}, "10.0.0.3:7400"}};
+  chunk.base_term = {208};
+  chunk.base_index = {209};
+  chunk.body = {210, 211, 212};
+  chunk.documents = {213, 214, 215};
+  chunk.digest = 216;
+  chunk.total = 217;
+  chunk.offset = 218;
+  chunk.bytes = std::string("piece \0 bytes", 13);
+  return chunk;
 }
 
 RaftMessage full_message(Type type) {
@@ -48,20 +53,20 @@
   message.from = {221};
   message.address = "10.0.0.4:7400";
   message.term = {222};
-  message.entry_term = {223};
-  message.entry_index = {224};
-  message.commit = {225};
-  message.round = 226;
+  message.last_log_term = {223};
+  message.last_log_index = {224};
+  message.commit_index = {225};
+  message.heartbeat_round = 226;
   message.is_granted = true;
-  message.is_transfer = true;
+  message.is_leadership_transfer = true;
   message.is_removed = true;
   message.is_confirmed = true;
-  message.piece = full_piece();
-  message.piece_index = {227};
-  message.piece_end = 228;
-  message.wants_whole = true;
+  message.chunk = full_chunk();
+  message.chunk_entry_index = {227};
+  message.chunk_end_offset = 228;
+  message.wants_full_entry = true;
   message.members = {{MemberId{229}, "10.0.0.5:7400"}, {MemberId{230}, "10.0.0.6:7400"}};
-  message.leader = "10.0.0.7:7400";
+  message.leader_address = "10.0.0.7:7400";
   return message;
 }
 
@@ -107,18 +112,18 @@
 
 Test(wire_format, raft_flags) {
   check_flag("raft_only_granted", FrameKind::raft, &RaftMessage::is_granted);
-  check_flag("raft_only_transfer", FrameKind::raft, &RaftMessage::is_transfer);
+  check_flag("raft_only_transfer", FrameKind::raft, &RaftMessage::is_leadership_transfer);
   check_flag("raft_only_removed", FrameKind::raft, &RaftMessage::is_removed);
   check_flag("raft_only_confirmed", FrameKind::raft, &RaftMessage::is_confirmed);
-  check_flag("raft_only_wants_whole", FrameKind::raft, &RaftMessage::wants_whole);
-  RaftMessage piece_alone;
-  piece_alone.piece.emplace();
-  check_frame("raft_only_blank_piece", FrameKind::raft, piece_alone);
+  check_flag("raft_only_wants_whole", FrameKind::raft, &RaftMessage::wants_full_entry);
+  RaftMessage chunk_alone;
+  chunk_alone.chunk.emplace();
+  check_frame("raft_only_blank_piece", FrameKind::raft, chunk_alone);
 }
 
 Test(wire_format, an_unknown_raft_type_is_refused) {
   RaftMessage message;
-  message.type = static_cast<Type>(static_cast<std::uint64_t>(Type::left) + 1);
+  message.type = static_cast<Type>(static_cast<std::uint64_t>(Type::leave_reply) + 1);
   FrameHead head;
   RaftMessage decoded;
   cr_expect(!decodes_as(encode(frame_sender(), message), head, decoded));
--- a/tests/state/configuration_test.cpp
+++ b/tests/state/configuration_test.cpp
@@ -24,9 +24,9 @@
 
 Test(frames, one_cut_short_anywhere_is_dropped) {
   RaftMessage message;
-  message.type = RaftMessage::Type::append;
-  message.piece.emplace().bytes = "four";
-  message.piece->outgoing = {{MemberId{2}, "b"}};
+  message.type = RaftMessage::Type::append_entries;
+  message.chunk.emplace().bytes = "four";
+  message.chunk->outgoing = {{MemberId{2}, "b"}};
   message.members = {{MemberId{1}, "a"}};
   const std::string bytes = encode({FrameKind::raft, IncarnationId{9}, "10.0.0.1:7"}, message);
   const auto is_read = [](std::string_view frame) {
@@ -34,8 +34,8 @@
     FrameHead head;
     RaftMessage read;
     return decode_head(reader, head) && head.kind == FrameKind::raft && decode(reader, read) &&
-           read.piece->bytes == "four" &&
-           read.piece->outgoing == std::vector<Member>{{MemberId{2}, "b"}};
+           read.chunk->bytes == "four" &&
+           read.chunk->outgoing == std::vector<Member>{{MemberId{2}, "b"}};
   };
   cr_expect(is_read(bytes));
   cr_expect(!is_read(bytes + "x"));
--- a/tests/state/durable_store_test.cpp
+++ b/tests/state/durable_store_test.cpp
@@ -5,9 +5,9 @@
 
 #include <boost/crc.hpp>
 
-#include "state/file_system_model.h"
 #include "state/bytes.h"
 #include "state/durable_store.h"
+#include "state/file_system_model.h"
 
 using namespace saddlewing;
 
@@ -48,7 +48,7 @@
     return 0;
   const std::uint64_t index = persistent.entry->index.value;
   cr_assert(persistent.entry->body == body_of(index, size) && persistent.self.value == 5 &&
-            persistent.vote.value == 5);
+            persistent.voted_for.value == 5);
   return index;
 }
 
@@ -71,8 +71,8 @@
   Writer writer;
   writer.number(1)
       .number(persistent.self.value)
-      .number(persistent.term.value)
-      .number(persistent.vote.value);
+      .number(persistent.current_term.value)
+      .number(persistent.voted_for.value);
   write_entry(writer, *persistent.entry);
   boost::crc_32_type crc;
   crc.process_bytes(writer.bytes().data(), writer.bytes().size());
--- a/tools/model_checks.h
+++ b/tools/model_checks.h
@@ -95,10 +95,10 @@
 // A planted fault: what an old leader sends counts as if it were of the present term.
 template <class M>
 void obey_lower_term(M& message, Term term) {
-  message.term = message.entry_term = term;
-  if constexpr (requires { message.piece; }) {
-    if (message.piece)
-      message.piece->term = term;
+  message.term = message.last_log_term = term;
+  if constexpr (requires { message.chunk; }) {
+    if (message.chunk)
+      message.chunk->term = term;
   } else if (message.entry) {
     auto entry = std::make_shared<Entry>(*message.entry);
     entry->term = term;
--- a/tools/model_explore.cpp
+++ b/tools/model_explore.cpp
@@ -180,7 +180,7 @@
         Node node = *next.nodes[letter.to];
         RaftMessage copy = message;
         if (bounds_.planted == Planted::lower_term_obeyed &&
-            copy.type == RaftMessage::Type::append && copy.term < node.raft->term())
+            copy.type == RaftMessage::Type::append_entries && copy.term < node.raft->term())
           obey_lower_term(copy, node.raft->term());
         node.raft->receive(copy, node.now);
         settle(next, letter.to, node);
@@ -278,7 +278,7 @@
     node.noted = nullptr;
     if (node.incarnation > 1) {
       if (bounds_.planted == Planted::vote_forgotten)
-        node.disk.vote = {};
+        node.disk.voted_for = {};
       if (bounds_.planted == Planted::wiped_under_old_id)
         node.disk = {node.disk.self, {}, {}, std::make_shared<Entry>()};
       if (bounds_.planted == Planted::snapshot_without_term && node.disk.entry->index.value) {
@@ -290,7 +290,7 @@
     node.disk_before = node.disk;
     RaftOptions options;
     options.address = addresses_[number];
-    options.draw = number * 100 + node.incarnation;
+    options.random_seed = number * 100 + node.incarnation;
     node.raft = std::make_unique<RaftNode>(node.disk, options, addresses_, node.now);
     settle(state, number, node);
   }
@@ -301,7 +301,7 @@
     node.disk = node.pending->persistent;
     node.pending.reset();
     if (bounds_.planted != Planted::answer_before_sync)
-      node.raft->finish_save(serial, true, node.now);
+      node.raft->handle_save_result(serial, true, node.now);
     settle(state, number, node);
   }
 
@@ -310,7 +310,7 @@
     node.raft->tick(node.now);
     for (bool is_early = true; is_early;) {
       is_early = false;
-      RaftNode::Output output = node.raft->take(node.now);
+      RaftNode::Output output = node.raft->take_output(node.now);
       const EntrySnapshot& committed = node.raft->committed();
       if (node.raft->is_leader())
         state.ledger.lead(node.raft->term(), node.raft->self(), node.incarnation);
@@ -321,7 +321,7 @@
         state.ledger.commit(*committed);
         node.noted = committed;
       }
-      for (RaftNode::Outgoing& outgoing : output.messages) {
+      for (RaftNode::OutgoingMessage& outgoing : output.messages) {
         const auto to = std::find(addresses_.begin(), addresses_.end(), outgoing.to);
         if (to == addresses_.end())
           continue;
@@ -331,7 +331,7 @@
                                  std::make_shared<RaftMessage>(std::move(outgoing.message))});
       }
       for (const RaftNode::Result& result : output.results) {
-        if (result.verdict != RaftNode::Verdict::done)
+        if (result.outcome != RaftNode::Outcome::done)
           continue;
         const std::size_t call = result.token - 1;
         if (result.state) {
@@ -347,7 +347,7 @@
       node.pending = std::move(output.save);
       if (bounds_.planted != Planted::answer_before_sync)
         continue;
-      node.raft->finish_save(node.pending->serial, true, node.now);
+      node.raft->handle_save_result(node.pending->serial, true, node.now);
       is_early = true;
     }
     node.digest = mix(RaftNodeProbe::look(*node.raft, node.now), node.incarnation);
--- a/tools/model_nodes.cpp
+++ b/tools/model_nodes.cpp
@@ -71,7 +71,7 @@
     node.has_disk = true;
   } else {
     if (setup.planted == Planted::vote_forgotten)
-      node.disk.vote = {};
+      node.disk.voted_for = {};
     if (setup.planted == Planted::snapshot_without_term && node.disk.entry->index.value) {
       auto entry = std::make_shared<Entry>(*node.disk.entry);
       entry->term = {};
@@ -81,11 +81,12 @@
   node.has_before = false;
   RaftOptions options;
   options.address = node.address;
-  options.voters = static_cast<std::uint32_t>(setup.can_lose()) * 2 + 1;
-  options.draw = draw(4);
-  options.silent = replacement_timeout(Duration(setup.catch_up / 1000), options.election);
+  options.voter_count = static_cast<std::uint32_t>(setup.can_lose()) * 2 + 1;
+  options.random_seed = draw(4);
+  options.voter_timeout =
+      replacement_timeout(Duration(setup.catch_up / 1000), options.election_timeout);
   const TimePoint now = local(node);
-  const Duration election = options.election;
+  const Duration election = options.election_timeout;
   node.raft = std::make_unique<RaftNode>(node.disk, options, contacts(), now);
   node.rollout = std::make_unique<VersionRollout>(rollout_wait);
   node.grants = std::make_unique<RetryQuotaAllocator>(reserve, grant_valid, grant_window);
@@ -104,7 +105,7 @@
   say("registry " + std::to_string(node.number) + " starts as member " +
       std::to_string(node.disk.self.value) + ", holds " +
       show(node.disk.entry->term, node.disk.entry->index) + " in term " +
-      std::to_string(node.disk.term.value));
+      std::to_string(node.disk.current_term.value));
   push(now_ + min_wait, Event::Kind::wake, 0, node.number, node.incarnation, {});
   node.wake_at = now_ + min_wait;
 }
@@ -123,7 +124,7 @@
   node.raft.reset();
   say("registry " + std::to_string(node.number) + " is down, its disk holds " +
       show(node.disk.entry->term, node.disk.entry->index) + " in term " +
-      std::to_string(node.disk.term.value));
+      std::to_string(node.disk.current_term.value));
 }
 
 void World::wipe_node(Node& node) {
@@ -144,7 +145,7 @@
     push(now_ + span, Event::Kind::save, 0, node.number, node.incarnation,
          FinishedSave{serial, node.mode != DiskMode::failing});
   if (walk_.setup.planted == Planted::answer_before_sync)
-    node.raft->finish_save(serial, true, local(node));
+    node.raft->handle_save_result(serial, true, local(node));
 }
 
 void World::end_save(Node& node, std::uint64_t serial) {
@@ -157,10 +158,12 @@
     const auto key = [](const PersistentState& persistent) {
       return std::pair(persistent.entry->term, persistent.entry->index);
     };
-    if (next.self != node.disk.self || next.term < node.disk.term || key(next) < key(node.disk))
+    if (next.self != node.disk.self || next.current_term < node.disk.current_term ||
+        key(next) < key(node.disk))
       fail("no node goes back",
            "registry " + std::to_string(node.number) + " saved what is older than what it held");
-    if (next.term == node.disk.term && node.disk.vote.value && next.vote != node.disk.vote)
+    if (next.current_term == node.disk.current_term && node.disk.voted_for.value &&
+        next.voted_for != node.disk.voted_for)
       fail("no node goes back",
            "registry " + std::to_string(node.number) + " changed its vote within a term");
     if (walk_.setup.planted == Planted::folder_sync_left_out) {
@@ -177,7 +180,7 @@
                          FinishedSave{serial, is_saved}});
     return;
   }
-  node.raft->finish_save(serial, is_saved, local(node));
+  node.raft->handle_save_result(serial, is_saved, local(node));
   turn_node(node);
 }
 
@@ -200,7 +203,7 @@
 void World::transfer_and_lead_on(Node& node) {
   flush(node);
   const RaftNode leading = *node.raft;
-  node.raft->transfer(local(node));
+  node.raft->transfer_leadership(local(node));
   flush(node);
   *node.raft = leading;
   turn_node(node);
@@ -229,14 +232,14 @@
 
 void World::flush(Node& node) {
   observe(node);  // what is answered is committed before
-  RaftNode::Output output = node.raft->take(local(node));
+  RaftNode::Output output = node.raft->take_output(local(node));
   if (output.save)
     begin_save(node, std::move(*output.save));
-  for (RaftNode::Outgoing& outgoing : output.messages) {
+  for (RaftNode::OutgoingMessage& outgoing : output.messages) {
     if (trace_)
       say("registry " + std::to_string(node.number) + " sends " + name_of(outgoing.message.type) +
           " to " + outgoing.to + ", term " + std::to_string(outgoing.message.term.value) +
-          ", holds " + show(outgoing.message.entry_term, outgoing.message.entry_index) +
+          ", holds " + show(outgoing.message.last_log_term, outgoing.message.last_log_index) +
           (outgoing.message.is_granted ? ", granted" : ""));
     if (const auto number = numbers_.find(outgoing.to); number != numbers_.end())
       send(node.number, number->second, std::move(outgoing.message));
@@ -245,7 +248,7 @@
     const auto found = node.calls.find(result.token);
     if (found == node.calls.end())
       continue;
-    if (result.verdict == RaftNode::Verdict::done)
+    if (result.outcome == RaftNode::Outcome::done)
       finish_call(node, result.token, true, result.state ? result.state->version : Version{},
                   result.state ? result.state->body : "");
     else
@@ -300,7 +303,7 @@
   if (const FollowPacket* follow = std::get_if<FollowPacket>(&content))
     return handle_subscribe(node, *follow);
   if (const FinishedSave* save = std::get_if<FinishedSave>(&content))
-    return node.raft->finish_save(save->serial, save->is_saved, local(node));
+    return node.raft->handle_save_result(save->serial, save->is_saved, local(node));
   if (const CallPacket* packet = std::get_if<CallPacket>(&content)) {
     node.calls[++node.last_token] = {0,
                                      packet->is_read,
@@ -327,15 +330,16 @@
 
 void World::receive(Node& node, int from, RaftMessage& message) {
   const Planted planted = walk_.setup.planted;
-  if (planted == Planted::lower_term_obeyed && message.type == RaftMessage::Type::append &&
+  if (planted == Planted::lower_term_obeyed && message.type == RaftMessage::Type::append_entries &&
       message.term < node.raft->term())
     obey_lower_term(message, node.raft->term());
-  if (planted == Planted::learner_counted_early && message.type == RaftMessage::Type::appended &&
-      message.from.value > 1000 && node.raft->is_leader() && node.raft->committed()) {
+  if (planted == Planted::learner_counted_early &&
+      message.type == RaftMessage::Type::append_entries_reply && message.from.value > 1000 &&
+      node.raft->is_leader() && node.raft->committed()) {
     const EntrySnapshot& last = node.pending ? node.pending->persistent.entry : node.disk.entry;
     message.is_granted = true;
-    message.entry_term = last->term;
-    message.entry_index = last->index;
+    message.last_log_term = last->term;
+    message.last_log_index = last->index;
   }
   if (trace_)
     say("registry " + std::to_string(node.number) + " takes " + name_of(message.type) + " of " +
--- a/tools/model_probe.h
+++ b/tools/model_probe.h
@@ -1,9 +1,9 @@
 #pragma once
 // A digest of all in an agreement that decides what it does next. Left out: the numbers drawn and
 // what only they set
-// (`election_`, `due_`), for the explorer's clocks run on far enough whatever was drawn; and caches
-// of what is sent. A field forgotten here would merge states that differ; the explorer checks a
-// sample of merged ones (see explore).
+// (`election_deadline_`, `next_due_`), for the explorer's clocks run on far enough whatever was
+// drawn; and caches of what is sent. A field forgotten here would merge states that differ; the
+// explorer checks a sample of merged ones (see explore).
 #include <xxhash.h>
 
 #include <optional>
@@ -71,61 +71,61 @@
   void add_peer(const P& peer) {
     SADDLEWING_ADD(peer, address);
     SADDLEWING_ADD(peer, last_contact);
-    SADDLEWING_ADD(peer, matched);
+    SADDLEWING_ADD(peer, match_index);
     SADDLEWING_ADD(peer, is_matched);
-    SADDLEWING_ADD(peer, held_term);
-    SADDLEWING_ADD(peer, held_index);
-    SADDLEWING_ADD(peer, has_told);
-    SADDLEWING_ADD(peer, should_send_whole);
-    SADDLEWING_ADD(peer, sent);
-    SADDLEWING_ADD(peer, answered);
-    SADDLEWING_ADD(peer, told);
-    SADDLEWING_ADD(peer, window);
-    SADDLEWING_ADD(peer, sent_at);
+    SADDLEWING_ADD(peer, acknowledged_term);
+    SADDLEWING_ADD(peer, acknowledged_index);
+    SADDLEWING_ADD(peer, has_acknowledged);
+    SADDLEWING_ADD(peer, should_send_full_entry);
+    SADDLEWING_ADD(peer, sent_bytes);
+    SADDLEWING_ADD(peer, acknowledged_bytes);
+    SADDLEWING_ADD(peer, reported_bytes);
+    SADDLEWING_ADD(peer, window_bytes);
+    SADDLEWING_ADD(peer, last_chunk_sent);
     SADDLEWING_ADD(peer, sent_serial);
-    SADDLEWING_ADD(peer, round);
-    SADDLEWING_ADD(peer, leased);
-    SADDLEWING_ADD(peer, leaving);
-    if constexpr (requires { peer.change; })
-      add(std::uint64_t{peer.change != nullptr});
+    SADDLEWING_ADD(peer, heartbeat_round);
+    SADDLEWING_ADD(peer, lease_start);
+    SADDLEWING_ADD(peer, leave_requested);
+    if constexpr (requires { peer.delta; })
+      add(std::uint64_t{peer.delta != nullptr});
   }
   template <class A>
   void add_agreement(const A& from) {
     SADDLEWING_ADD(from, persistent_);
-    SADDLEWING_ADD(from, serial_);
-    SADDLEWING_ADD(from, saved_);
+    SADDLEWING_ADD(from, state_serial_);
+    SADDLEWING_ADD(from, saved_serial_);
     SADDLEWING_ADD(from, entry_serial_);
     SADDLEWING_ADD(from, save_started_);
     SADDLEWING_ADD(from, save_retry_);
     add_all(from.contacts_);
     add(static_cast<std::uint64_t>(from.role_));
     SADDLEWING_ADD(from, leader_id_);
-    SADDLEWING_ADD(from, leader_);
+    SADDLEWING_ADD(from, leader_address_);
     SADDLEWING_ADD(from, last_leader_contact_);
     SADDLEWING_ADD(from, last_confirmed_contact_);
-    SADDLEWING_ADD(from, heartbeat_due_);
+    SADDLEWING_ADD(from, next_heartbeat_);
     SADDLEWING_ADD(from, is_removed_);
     add_map(from.votes_);
     for (const auto& [id, peer] : from.peers_)
       add(id), add_peer(peer);
     add_map(from.learners_);
     SADDLEWING_ADD(from, committed_);
-    SADDLEWING_ADD(from, is_under_way_);
-    add_all(from.attached_);
-    for (const auto& waiting : from.waiting_)
-      add(waiting.version), add(waiting.body), add(waiting.token), add(waiting.document),
-          add(waiting.text);
-    for (const auto& read : from.reads_)
-      add(read.token), add(read.round);
-    SADDLEWING_ADD(from, round_);
-    add_map(from.round_sent_);
-    if constexpr (requires { from.started_; })
-      add_map(from.started_);
+    SADDLEWING_ADD(from, is_replicating_);
+    add_all(from.in_flight_tokens_);
+    for (const auto& proposal : from.pending_proposals_)
+      add(proposal.version), add(proposal.body), add(proposal.token), add(proposal.document),
+          add(proposal.text);
+    for (const auto& read : from.pending_reads_)
+      add(read.token), add(read.heartbeat_round);
+    SADDLEWING_ADD(from, heartbeat_round_);
+    add_map(from.heartbeat_sent_);
+    if constexpr (requires { from.entry_started_; })
+      add_map(from.entry_started_);
     SADDLEWING_ADD(from, leaving_since_);
-    SADDLEWING_ADD(from, leave_asked_);
+    SADDLEWING_ADD(from, last_leave_request_);
     SADDLEWING_ADD(from, has_left_);
-    for (const auto& held : from.held_)
-      add(held.need), add(held.outgoing.to), add(held.outgoing.message);
+    for (const auto& pending : from.pending_messages_)
+      add(pending.required_save), add(pending.outgoing.to), add(pending.outgoing.message);
   }
 #undef SADDLEWING_ADD
 
