--- a/src/coordination/raft/raft_node.h
+++ b/src/coordination/raft/raft_node.h
@@ -137,9 +137,10 @@
   // This node leads under a lease: a quorum replied to a heartbeat that left within the least
   // election timeout, and whoever heard it votes for nobody else meanwhile.
   //
-  // Known open point: a voter that restarts has forgotten when it heard the leader and may vote at
-  // once. If enough voters restart within the lease, more than the cluster is meant to lose at a
-  // time, another leader may be elected before the lease is over: two leases overlap.
+  // Known open point: a voter that restarts does not know any more when it heard the leader, and
+  // may vote at once. With more lost at a time than the cluster is meant to lose (of three members:
+  // one cut off from the leader, and the other one restarts), another leader can be elected before
+  // this lease is over, and both are leased. See docs/design/control.md.
   bool is_leased(TimePoint now) const {
     return now < lease_until();
   }
--- a/src/protocol/raft_messages.h
+++ b/src/protocol/raft_messages.h
@@ -1,5 +1,10 @@
 #pragma once
-// Messages of the agreement between registries, and how they travel.
+// Messages of Raft between registries, and how they travel.
+//
+// Plain data with its encoding; no rules of consensus (see coordination/raft). The order of the
+// fields on the wire is that of encode() and never changes; numbers of types likewise. Functions
+// are pure and may be called from any thread.
+#include <cstdint>
 #include <optional>
 #include <string>
 #include <vector>
@@ -11,66 +16,94 @@
 
 namespace saddlewing {
 
-// A part of an entry on its way: the entry's head, and some of the bytes by which its content
-// differs from an entry that the receiver holds. A large entry travels in many, so that no beat
-// waits behind it.
+// A part of an entry on its way: the entry's header, and some of the bytes by which its content
+// differs from an entry that the receiver holds. A large entry travels in many chunks, so that no
+// heartbeat waits behind it.
 struct EntryChunk {
+  // Header of the entry, the same in all its chunks.
   Term term;
   Index index;
   Version version;
   std::uint32_t core_size = 0;
-  std::vector<Member> members, outgoing;
-  Term base_term;  // of the entry that it builds on; all 0: on none
+  std::vector<Member> members;
+  std::vector<Member> outgoing;
+
+  // The entry that the delta builds on; both 0: none, the delta holds the full entry.
+  Term base_term;
   Index base_index;
+
+  // How one text of the entry is made from the base's: prefix, changed bytes, suffix. All in bytes.
   struct Kept {
-    std::uint64_t prefix = 0, suffix = 0;  // bytes of the base that stay
-    std::uint64_t changed = 0;             // bytes between them
+    std::uint64_t prefix = 0;   // of the base, from its front
+    std::uint64_t suffix = 0;   // of the base, from its back
+    std::uint64_t changed = 0;  // of the delta, between them
     auto operator<=>(const Kept&) const = default;
   };
-  Kept body, documents;
-  std::uint64_t digest = 0;             // XXH3 of the whole content
-  std::uint64_t total = 0, offset = 0;  // of the bytes on their way
+  Kept body;
+  Kept documents;
+
+  // XXH3 of the entry's whole content; proves that the base was the right one.
+  std::uint64_t digest = 0;
+  // Size of the delta, and where `bytes` begin in it.
+  std::uint64_t total = 0;
+  std::uint64_t offset = 0;
   std::string bytes;
 };
 
 struct RaftMessage {
+  // Numbers on the wire; never renumbered.
   enum class Type : std::uint64_t {
-    pre_vote,
-    pre_vote_reply,
-    request_vote,
-    request_vote_reply,
-    append_entries,
-    append_entries_reply,
-    timeout_now,
-    join,
-    join_reply,
-    leave,
-    leave_reply
+    pre_vote = 0,              // would you vote for me in this term? (thesis, section 9.6)
+    pre_vote_reply = 1,        //
+    request_vote = 2,          // vote for me in this term (paper, section 5.2)
+    request_vote_reply = 3,    //
+    append_entries = 4,        // a heartbeat, or a chunk of the leader's newest entry
+    append_entries_reply = 5,  //
+    timeout_now = 6,           // campaign at once: leadership is handed over (thesis, section 3.10)
+    join = 7,                  // take me in as a learner
+    join_reply = 8,            // of a node that does not lead: whom to ask
+    leave = 9,                 // take me out of the members
+    leave_reply = 10           // nothing is left to wait for
   };
+
+  // Of every message.
   Type type{};
   MemberId from;
-  std::string address;
-  Term term;
-  Term last_log_term;  // the sender's last entry
+  std::string address;  // inner address of the sender
+  Term term;            // the sender's; of pre_vote: the one that it would campaign in
+  Term last_log_term;   // of the sender's last entry
   Index last_log_index;
-  Index commit_index;  // of append: the newest entry of this term that is committed
+
+  // Of append_entries: the newest entry of this term that is committed; 0: none yet.
+  Index commit_index;
+  // Of append_entries: the heartbeat's number, 0 with a chunk; the reply repeats it.
   std::uint64_t heartbeat_round = 0;
+  // Of replies to votes: granted. Of append_entries_reply: the last entry is on disk.
   bool is_granted = false;
-  bool is_leadership_transfer =
-      false;                        // the vote follows a hand-over: a live leader is no objection
-  bool is_removed = false;          // the receiver is no member any more
-  bool is_confirmed = false;        // of append: a majority answered the leader of late
-  std::optional<EntryChunk> chunk;  // with append, while the follower lacks the entry
-  // With appended: how far the entry on its way came; is_granted says that the entry named above is
-  // on disk.
+  // Of request_vote: it follows timeout_now, so a live leader is no objection.
+  bool is_leadership_transfer = false;
+  // Of pre_vote_reply: the receiver is no member any more.
+  bool is_removed = false;
+  // Of append_entries: the leader had contact to a quorum within an election timeout.
+  bool is_confirmed = false;
+  // Of append_entries, while the follower lacks the entry.
+  std::optional<EntryChunk> chunk;
+
+  // Of append_entries_reply: the entry that is being received, and how many bytes of its delta came
+  // without a gap.
   Index chunk_entry_index;
   std::uint64_t chunk_end_offset = 0;
-  bool wants_full_entry = false;  // what came built on an entry that is not held
-  std::vector<Member> members;    // with joined
-  std::string leader_address;     // with joined: its inner address
+  // Of append_entries_reply: the delta builds on an entry that is not held, or does not fit it.
+  bool wants_full_entry = false;
+
+  // Of join_reply: the voters, and the leader's inner address; empty while none is known.
+  std::vector<Member> members;
+  std::string leader_address;
 };
 
+// The frame of a message.
 std::string encode(const FrameHead& head, const RaftMessage& value);
+// Reads what follows the head. False: foreign or damaged; `value` is then unspecified.
 bool decode(ByteReader& reader, RaftMessage& value);
 
 }  // namespace saddlewing
