--- a/src/commands/check.cpp
+++ b/src/commands/check.cpp
@@ -9,6 +9,7 @@
 #include "commands/commands.h"
 #include "state/configuration.h"
 #include "state/hash_ring.h"
+#include "state/json_document.h"
 #include "state/node_settings.h"
 
 namespace saddlewing {
--- a/src/commands/edges.cpp
+++ b/src/commands/edges.cpp
@@ -6,7 +6,7 @@
 
 #include "commands/operator_client.h"
 #include "commands/commands.h"
-#include "state/node_settings.h"
+#include "state/json_document.h"
 
 namespace saddlewing {
 namespace {
--- a/src/commands/ring.cpp
+++ b/src/commands/ring.cpp
@@ -10,7 +10,7 @@
 #include "commands/commands.h"
 #include "protocol/frames.h"
 #include "state/hash_ring.h"
-#include "state/node_settings.h"
+#include "state/json_document.h"
 
 namespace saddlewing {
 namespace {
--- a/src/coordination/discovery/backend_heartbeat.cpp
+++ b/src/coordination/discovery/backend_heartbeat.cpp
@@ -5,7 +5,8 @@
 #include <algorithm>
 #include <cmath>
 
-#include "state/node_settings.h"
+#include "state/address.h"
+#include "state/json_document.h"
 
 namespace saddlewing {
 namespace {
--- a/src/registry/backend_monitor.cpp
+++ b/src/registry/backend_monitor.cpp
@@ -6,6 +6,7 @@
 #include <algorithm>
 
 #include "protocol/http_calls.h"
+#include "state/json_document.h"
 
 namespace saddlewing {
 namespace {
--- a/src/state/configuration.cpp
+++ b/src/state/configuration.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <set>
 
-#include "state/node_settings.h"
+#include "state/json_document.h"
 
 namespace saddlewing {
 namespace {
--- a/tests/coordination/raft/pending_calls_test.cpp
+++ b/tests/coordination/raft/pending_calls_test.cpp
@@ -4,7 +4,8 @@
 
 #include "coordination/raft/raft_cluster_fixture.h"
 #include "coordination/raft/pending_calls.h"
-#include "state/node_settings.h"
+#include "state/address.h"
+#include "state/json_document.h"
 #include "transport/http_client_connection.h"
 #include "transport/http_server.h"
 
