--- a/src/registry/cluster_bootstrap.cpp
+++ b/src/registry/cluster_bootstrap.cpp
@@ -15,8 +15,9 @@
   return {hash | 1};
 }
 
-bool is_refused(DurableStore::Found found) {
-  return found == DurableStore::Found::unknown_format || found == DurableStore::Found::unreadable;
+bool is_refused(DurableStore::LoadStatus found) {
+  return found == DurableStore::LoadStatus::unknown_format ||
+         found == DurableStore::LoadStatus::unreadable;
 }
 
 }  // namespace
@@ -26,10 +27,10 @@
                                              const std::function<bool()>& wait) {
   PersistentState persistent;
   Error why;
-  DurableStore::Found found = store.load(persistent, why);
-  if (found == DurableStore::Found::unknown_format)
+  DurableStore::LoadStatus found = store.load(persistent, why);
+  if (found == DurableStore::LoadStatus::unknown_format)
     LOG(ERROR) << "disk: store of a later format, left as it is: " << why.text();
-  if (found == DurableStore::Found::unreadable)
+  if (found == DurableStore::LoadStatus::unreadable)
     LOG(ERROR) << "disk: store cannot be read, left as it is: " << why.text();
   const bool was_refused =
       is_refused(found);  // then there was a store: whatever becomes of it, no core is founded
@@ -38,9 +39,9 @@
       return std::nullopt;
     found = store.load(persistent, why);
   }
-  if (found == DurableStore::Found::record)
+  if (found == DurableStore::LoadStatus::loaded)
     return persistent;
-  if (found == DurableStore::Found::damaged)
+  if (found == DurableStore::LoadStatus::damaged)
     LOG(ERROR) << "disk: store damaged, treated as lost: " << why.text();
   auto entry = std::make_shared<Entry>();
   const std::string self = Address{settings.ip_address, settings.inner_port}.text();
@@ -51,7 +52,7 @@
   const bool is_founder = std::any_of(entry->members.begin(), entry->members.end(),
                                       [&](const Member& m) { return m.address == self; });
   persistent = {};
-  if (settings.is_first_run && is_founder && found == DurableStore::Found::nothing &&
+  if (settings.is_first_run && is_founder && found == DurableStore::LoadStatus::empty &&
       !was_refused) {
     persistent.self = founder_id(self);
     LOG(INFO) << "agree: founds a core of " << entry->members.size();
--- a/src/state/durable_store.cpp
+++ b/src/state/durable_store.cpp
@@ -24,37 +24,37 @@
   std::uint64_t format = 0, serial = 0, image_size = 0, image_digest = 0;
 };
 
-std::string write_checksum(const RecordChecksum& seal) {
+std::string write_checksum(const RecordChecksum& checksum) {
   Writer writer;
-  writer.number(seal.format)
-      .number(seal.serial)
-      .number(seal.image_size)
-      .number(seal.image_digest)
+  writer.number(checksum.format)
+      .number(checksum.serial)
+      .number(checksum.image_size)
+      .number(checksum.image_digest)
       .number(checksum_magic);
   writer.number(XXH3_64bits(writer.bytes().data(), writer.bytes().size()));
   return writer.take();
 }
 
-bool has_mark(const std::string& bytes) {
+bool has_checksum_magic(const std::string& bytes) {
   return bytes.size() == checksum_size &&
          ByteReader(std::string_view(bytes).substr(checksum_size - 16)).number() == checksum_magic;
 }
 
-bool read_checksum(const std::string& bytes, RecordChecksum& seal) {
+bool read_checksum(const std::string& bytes, RecordChecksum& checksum) {
   ByteReader reader(bytes);
-  seal.format = reader.number();
-  seal.serial = reader.number();
-  seal.image_size = reader.number();
-  seal.image_digest = reader.number();
+  checksum.format = reader.number();
+  checksum.serial = reader.number();
+  checksum.image_size = reader.number();
+  checksum.image_digest = reader.number();
   reader.number();
   return reader.number() == XXH3_64bits(bytes.data(), checksum_size - 8) && reader.is_complete();
 }
 
-Error disk_fault(const char* step, int code) {
+Error disk_error(const char* step, int code) {
   return code ? make_error(ErrorCode::disk, step, mdb_strerror(code)) : Error{};
 }
 
-std::uint64_t checksum(std::uint64_t format, std::string_view bytes) {
+std::uint64_t record_digest(std::uint64_t format, std::string_view bytes) {
   if (format != first_format)
     return XXH3_64bits(bytes.data(), bytes.size());
   boost::crc_32_type crc;
@@ -63,7 +63,7 @@
 }
 
 // Later saves of one member never go back in this.
-auto age_of(const PersistentState& persistent) {
+auto recency_of(const PersistentState& persistent) {
   return std::tuple(persistent.term, persistent.entry->term, persistent.entry->index,
                     persistent.vote.value != 0);
 }
@@ -72,11 +72,11 @@
 // key and believed by its own checksum. LMDB puts a node's size, flags and size of key before the
 // key; a record that does not fit into a page stands at the start of another, behind that page's
 // head.
-Decoded find_unsealed(const std::string& bytes, PersistentState& persistent) {
+DecodeStatus find_legacy_record(const std::string& bytes, PersistentState& persistent) {
   constexpr std::size_t head_size = 16, big = 1;
   const std::size_t page = static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
   const std::string_view all(bytes), key(record_key, sizeof record_key);
-  Decoded best = Decoded::damaged;
+  DecodeStatus best = DecodeStatus::damaged;
   for (std::size_t at = all.find(key, 8); at != std::string_view::npos;
        at = all.find(key, at + 1)) {
     std::uint16_t head[4];
@@ -94,10 +94,10 @@
     }
     if (begin > bytes.size())
       continue;
-    const Decoded decoded = decode_persistent_state(all.substr(begin, size), persistent);
-    if (decoded == Decoded::record)
+    const DecodeStatus decoded = decode_persistent_state(all.substr(begin, size), persistent);
+    if (decoded == DecodeStatus::decoded)
       return decoded;
-    if (decoded == Decoded::unknown_format)
+    if (decoded == DecodeStatus::unknown_format)
       best = decoded;
   }
   return best;
@@ -112,23 +112,23 @@
       .number(persistent.term.value)
       .number(persistent.vote.value);
   write_entry(writer, *persistent.entry);
-  writer.number(checksum(record_format, writer.bytes()));
+  writer.number(record_digest(record_format, writer.bytes()));
   return writer.take();
 }
 
-Decoded decode_persistent_state(std::string_view bytes, PersistentState& persistent) {
+DecodeStatus decode_persistent_state(std::string_view bytes, PersistentState& persistent) {
   if (bytes.size() < 16)
-    return Decoded::damaged;
+    return DecodeStatus::damaged;
   const std::string_view body = bytes.substr(0, bytes.size() - 8);
   const std::uint64_t sum = ByteReader(bytes.substr(body.size())).number(),
                       format = ByteReader(body).number();
   if (format > record_format) {
     const bool is_complete =
-        sum == checksum(record_format, body) || sum == checksum(first_format, body);
-    return is_complete ? Decoded::unknown_format : Decoded::damaged;
+        sum == record_digest(record_format, body) || sum == record_digest(first_format, body);
+    return is_complete ? DecodeStatus::unknown_format : DecodeStatus::damaged;
   }
-  if (format < first_format || sum != checksum(format, body))
-    return Decoded::damaged;
+  if (format < first_format || sum != record_digest(format, body))
+    return DecodeStatus::damaged;
   ByteReader reader(body.substr(8));
   PersistentState read;
   read.self.value = reader.number();
@@ -138,12 +138,12 @@
   read_entry(reader, *entry);
   read.entry = std::move(entry);
   if (!reader.is_complete())
-    return Decoded::damaged;
+    return DecodeStatus::damaged;
   persistent = std::move(read);
-  return Decoded::record;
+  return DecodeStatus::decoded;
 }
 
-DurableStore::Slot DurableStore::examine(int slot) const {
+DurableStore::Slot DurableStore::inspect_slot(int slot) const {
   using State = Slot::State;
   const std::string path = path_of(slot);
   FileSystem::Contents contents;
@@ -152,63 +152,64 @@
                ? Slot{}
                : Slot{State::unreadable, 0,
                       make_error(ErrorCode::disk, "read of " + path, mdb_strerror(code))};
-  if (!has_mark(contents.tail))
-    return {State::begun, 0, make_error(ErrorCode::damaged, "no seal", path)};
-  RecordChecksum seal;
-  if (!read_checksum(contents.tail, seal))
+  if (!has_checksum_magic(contents.tail))
+    return {State::incomplete, 0, make_error(ErrorCode::damaged, "no seal", path)};
+  RecordChecksum checksum;
+  if (!read_checksum(contents.tail, checksum))
     return {State::damaged, 0, make_error(ErrorCode::damaged, "seal", path)};
-  if (seal.format > record_format)
-    return {State::unknown_format, seal.serial,
-            make_error(ErrorCode::invalid, "format " + std::to_string(seal.format), path)};
-  if (seal.image_size != contents.size || seal.image_digest != contents.digest)
+  if (checksum.format > record_format)
+    return {State::unknown_format, checksum.serial,
+            make_error(ErrorCode::invalid, "format " + std::to_string(checksum.format), path)};
+  if (checksum.image_size != contents.size || checksum.image_digest != contents.digest)
     return {State::damaged, 0, make_error(ErrorCode::damaged, "checksum", path)};
-  return {State::whole, seal.serial, {}};
+  return {State::valid, checksum.serial, {}};
 }
 
-int DurableStore::newest_of(const Slot (&slots)[2]) {
+int DurableStore::newest_valid(const Slot (&slots)[2]) {
   const auto is_complete = [&](int slot) {
-    return slots[slot].state == Slot::State::whole;
+    return slots[slot].state == Slot::State::valid;
   };
   if (is_complete(0) && is_complete(1))
     return slots[1].serial > slots[0].serial;
   return is_complete(0) ? 0 : is_complete(1) ? 1 : -1;
 }
 
-DurableStore::Found DurableStore::load(PersistentState& persistent, Error& why) const {
+DurableStore::LoadStatus DurableStore::load(PersistentState& persistent, Error& error) const {
   using State = Slot::State;
-  const Slot slots[] = {examine(0), examine(1)};
-  for (const auto& [state, found] : {std::pair(State::unknown_format, Found::unknown_format),
-                                     {State::unreadable, Found::unreadable}})
+  const Slot slots[] = {inspect_slot(0), inspect_slot(1)};
+  for (const auto& [state, found] : {std::pair(State::unknown_format, LoadStatus::unknown_format),
+                                     {State::unreadable, LoadStatus::unreadable}})
     for (const Slot& slot : slots)
       if (slot.state == state)
-        return why = slot.why, found;
-  const int newest = newest_of(slots);
+        return error = slot.error, found;
+  const int newest = newest_valid(slots);
   if (newest >= 0) {
     std::string record;
     if (const int code = file_system_->read_image(path_of(newest), record))
-      return why = disk_fault("read of the store", code), Found::unreadable;
-    const Decoded decoded = decode_persistent_state(record, persistent);
-    if (decoded == Decoded::record)
-      return Found::record;
-    why = make_error(decoded == Decoded::damaged ? ErrorCode::damaged : ErrorCode::invalid,
-                     "record", path_of(newest));
-    return decoded == Decoded::damaged ? Found::damaged : Found::unknown_format;
+      return error = disk_error("read of the store", code), LoadStatus::unreadable;
+    const DecodeStatus decoded = decode_persistent_state(record, persistent);
+    if (decoded == DecodeStatus::decoded)
+      return LoadStatus::loaded;
+    error = make_error(decoded == DecodeStatus::damaged ? ErrorCode::damaged : ErrorCode::invalid,
+                       "record", path_of(newest));
+    return decoded == DecodeStatus::damaged ? LoadStatus::damaged : LoadStatus::unknown_format;
   }
   // Slot 1 is begun only after slot 0 was synced, and that was newer than any file of before the
   // slots.
   if (slots[1].state != State::absent)
-    return why = slots[1].why, Found::damaged;
-  const Found found = load_unsealed(persistent, why);
+    return error = slots[1].error, LoadStatus::damaged;
+  const LoadStatus found = load_legacy(persistent, error);
   // A first save that never came to its seal acknowledged nothing.
-  if (found == Found::nothing && slots[0].state == State::damaged)
-    return why = slots[0].why, Found::damaged;
+  if (found == LoadStatus::empty && slots[0].state == State::damaged)
+    return error = slots[0].error, LoadStatus::damaged;
   return found;
 }
 
 // Of before the slots: fresh.mdb was written, synced and renamed over state.mdb. After a loss of
 // power in between either name may be there, and a removed fresh.mdb may be back.
-DurableStore::Found DurableStore::load_unsealed(PersistentState& persistent, Error& why) const {
-  Found found = Found::nothing;
+DurableStore::LoadStatus DurableStore::load_legacy(PersistentState& persistent,
+                                                   Error& error) const {
+  LoadStatus found = LoadStatus::empty;
   for (const char* name : {"/state.mdb", "/fresh.mdb"}) {
     const std::string path = folder_ + name;
     std::string bytes;
@@ -216,22 +217,23 @@
     if (code == ENOENT)
       continue;
     if (code)
-      return why = make_error(ErrorCode::disk, "read of " + path, mdb_strerror(code)),
-             Found::unreadable;
+      return error = make_error(ErrorCode::disk, "read of " + path, mdb_strerror(code)),
+             LoadStatus::unreadable;
     PersistentState read;
-    const Decoded decoded = find_unsealed(bytes, read);
-    if (decoded == Decoded::unknown_format)
-      return why = make_error(ErrorCode::invalid, "format", path), Found::unknown_format;
-    if (decoded == Decoded::damaged) {
+    const DecodeStatus decoded = find_legacy_record(bytes, read);
+    if (decoded == DecodeStatus::unknown_format)
+      return error = make_error(ErrorCode::invalid, "format", path), LoadStatus::unknown_format;
+    if (decoded == DecodeStatus::damaged) {
       // A torn fresh.mdb was never acknowledged; state.mdb was synced whole before it got its name.
-      if (found == Found::nothing)
-        why = make_error(ErrorCode::damaged, "checksum", path), found = Found::damaged;
+      if (found == LoadStatus::empty)
+        error = make_error(ErrorCode::damaged, "checksum", path), found = LoadStatus::damaged;
       continue;
     }
-    if (found == Found::damaged || (found == Found::record && age_of(read) <= age_of(persistent)))
+    if (found == LoadStatus::damaged ||
+        (found == LoadStatus::loaded && recency_of(read) <= recency_of(persistent)))
       continue;
     persistent = std::move(read);
-    found = Found::record;
+    found = LoadStatus::loaded;
   }
   return found;
 }
@@ -241,49 +243,49 @@
 Error DurableStore::prepare() {
   if (is_prepared_)
     return {};
-  const Slot slots[] = {examine(0), examine(1)};
+  const Slot slots[] = {inspect_slot(0), inspect_slot(1)};
   for (const Slot& slot : slots)
     if (slot.state == Slot::State::unknown_format || slot.state == Slot::State::unreadable)
-      return slot.why;
-  const int newest = newest_of(slots);
+      return slot.error;
+  const int newest = newest_valid(slots);
   if (newest >= 0) {
     if (const int code = file_system_->sync(path_of(newest)))
-      return disk_fault("sync of the slot before", code);
+      return disk_error("sync of the slot before", code);
     if (const int code = file_system_->sync_folder(folder_))
-      return disk_fault("sync of the folder", code);
+      return disk_error("sync of the folder", code);
     serial_ = slots[newest].serial;
   } else {
     PersistentState held;
-    Error why;
-    const Found found = load_unsealed(held, why);
-    if (found == Found::unknown_format || found == Found::unreadable)
-      return why;
+    Error error;
+    const LoadStatus found = load_legacy(held, error);
+    if (found == LoadStatus::unknown_format || found == LoadStatus::unreadable)
+      return error;
   }
   is_folder_synced_ =
       newest >= 0 && slots[0].state != Slot::State::absent && slots[1].state != Slot::State::absent;
   newest_ = newest;
-  has_unsealed_ = true;
+  has_legacy_files_ = true;
   is_prepared_ = true;
   return {};
 }
 
 Error DurableStore::write(int slot, std::uint64_t serial, const std::string& record) {
   const std::string path = path_of(slot);
-  if (const int code = file_system_->clear(path))
-    return disk_fault("open of the store", code);
+  if (const int code = file_system_->create_empty(path))
+    return disk_error("open of the store", code);
   if (const int code = file_system_->write_image(path, record))
-    return disk_fault("write to the store", code);
+    return disk_error("write to the store", code);
   FileSystem::Contents image;
   if (const int code = file_system_->inspect(path, 0, image))
-    return disk_fault("checksum of the store", code);
-  const std::string seal = write_checksum({record_format, serial, image.size, image.digest});
-  if (const int code = file_system_->write(path, image.size, seal))
-    return disk_fault("seal of the store", code);
+    return disk_error("checksum of the store", code);
+  const std::string checksum = write_checksum({record_format, serial, image.size, image.digest});
+  if (const int code = file_system_->write(path, image.size, checksum))
+    return disk_error("seal of the store", code);
   if (const int code = file_system_->sync(path))
-    return disk_fault("sync of the store", code);
+    return disk_error("sync of the store", code);
   if (is_folder_synced_)
     return {};
-  return disk_fault("sync of the folder", file_system_->sync_folder(folder_));
+  return disk_error("sync of the folder", file_system_->sync_folder(folder_));
 }
 
 Error DurableStore::save(const PersistentState& persistent) {
@@ -291,16 +293,16 @@
     return found;
   const int slot = newest_ == 0 ? 1 : 0;
   if (Error found = write(slot, ++serial_, encode_persistent_state(persistent))) {
-    file_system_->clear(
+    file_system_->create_empty(
         path_of(slot));  // after a sync that failed, what reads as whole may never reach the disk
     return found;
   }
   is_folder_synced_ = newest_ >= 0;  // both slots have their names for good
   newest_ = slot;
-  if (has_unsealed_)
+  if (has_legacy_files_)
     for (const char* name : {"/state.mdb", "/fresh.mdb"})
       file_system_->remove(folder_ + name);
-  has_unsealed_ = false;
+  has_legacy_files_ = false;
   return {};
 }
 
--- a/src/state/durable_store.h
+++ b/src/state/durable_store.h
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <vector>
 
-#include "state/file_system.h"
 #include "state/error.h"
+#include "state/file_system.h"
 #include "state/types.h"
 
 namespace saddlewing {
@@ -45,13 +45,13 @@
 };
 
 // Format 2 is written, format 1 is still read. A format's number comes first, its checksum last.
-enum class Decoded {
-  record,
+enum class DecodeStatus {
+  decoded,
   damaged,
   unknown_format
 };
 std::string encode_persistent_state(const PersistentState& persistent);
-Decoded decode_persistent_state(std::string_view bytes, PersistentState& persistent);
+DecodeStatus decode_persistent_state(std::string_view bytes, PersistentState& persistent);
 
 // Two slots, written in turn and never renamed; each is an LMDB image closed by a seal with a
 // checksum over all of it and a serial that rises. LMDB trusts its pages, so it opens no slot whose
@@ -61,9 +61,9 @@
  public:
   // `unreadable`: what is there is not known. It and `unknown_format` are neither served nor
   // written over.
-  enum class Found {
-    nothing,
-    record,
+  enum class LoadStatus {
+    empty,
+    loaded,
     damaged,
     unknown_format,
     unreadable
@@ -73,39 +73,39 @@
                         std::shared_ptr<FileSystem> disk = std::make_shared<FileSystem>())
       : folder_(std::move(folder)), file_system_(std::move(disk)) {
   }
-  Found load(PersistentState& persistent, Error& make_error) const;
+  LoadStatus load(PersistentState& persistent, Error& error) const;
   // No fault: `persistent` outlasts any loss of power. A fault: the record before does, or this
   // one.
   Error save(const PersistentState& persistent);
 
  private:
-  // Begun: its save never came to the seal.
+  // Incomplete: its save never came to the checksum.
   struct Slot {
     enum class State {
       absent,
-      begun,
+      incomplete,
       damaged,
-      whole,
+      valid,
       unknown_format,
       unreadable
     } state = State::absent;
     std::uint64_t serial = 0;
-    Error why;
+    Error error;
   };
   std::string path_of(int slot) const {
     return folder_ + (slot ? "/slot-1.mdb" : "/slot-0.mdb");
   }
-  Slot examine(int slot) const;
+  Slot inspect_slot(int slot) const;
   // -1: none is whole.
-  static int newest_of(const Slot (&slots)[2]);
-  Found load_unsealed(PersistentState& persistent, Error& why) const;
+  static int newest_valid(const Slot (&slots)[2]);
+  LoadStatus load_legacy(PersistentState& persistent, Error& error) const;
   Error prepare();
   Error write(int slot, std::uint64_t serial, const std::string& record);
 
   std::string folder_;
   std::shared_ptr<FileSystem> file_system_;
   // Of the saves of this life. Invariant: `newest_` was synced once `is_prepared_`.
-  bool is_prepared_ = false, is_folder_synced_ = false, has_unsealed_ = false;
+  bool is_prepared_ = false, is_folder_synced_ = false, has_legacy_files_ = false;
   int newest_ = -1;
   std::uint64_t serial_ = 0;
 };
--- a/src/state/file_system.cpp
+++ b/src/state/file_system.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::size_t map_bytes = 64u << 20;
-constexpr std::size_t piece_bytes = 64u << 10;
+constexpr std::size_t chunk_bytes = 64u << 10;
 
 struct CloseEnvironment {
   void operator()(MDB_env* environment) const {
@@ -77,13 +77,13 @@
   return file.is_open() && ::fsync(file.number()) == 0 ? 0 : errno;
 }
 
-// Bytes from `offset` up to `end` or the file's end, in pieces.
+// Bytes from `offset` up to `end` or the file's end, in chunks.
 int read_range(int descriptor, std::uint64_t offset, std::uint64_t end,
                const std::function<void(std::string_view)>& take) {
-  std::vector<char> piece(std::min<std::uint64_t>(piece_bytes, end - offset));
+  std::vector<char> chunk(std::min<std::uint64_t>(chunk_bytes, end - offset));
   while (offset < end) {
     const ssize_t got =
-        ::pread(descriptor, piece.data(), std::min<std::uint64_t>(piece.size(), end - offset),
+        ::pread(descriptor, chunk.data(), std::min<std::uint64_t>(chunk.size(), end - offset),
                 static_cast<off_t>(offset));
     if (got < 0 && errno == EINTR)
       continue;
@@ -91,7 +91,7 @@
       return errno;
     if (got == 0)
       return EIO;  // cut while it was read
-    take({piece.data(), static_cast<std::size_t>(got)});
+    take({chunk.data(), static_cast<std::size_t>(got)});
     offset += static_cast<std::uint64_t>(got);
   }
   return 0;
@@ -109,7 +109,7 @@
 
 }  // namespace
 
-int FileSystem::clear(const std::string& path) {
+int FileSystem::create_empty(const std::string& path) {
   const Descriptor file(::open(path.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0644));
   return file.is_open() && ::ftruncate(file.number(), 0) == 0 ? 0 : errno;
 }
@@ -187,14 +187,14 @@
   if (!state)
     return ENOMEM;
   XXH3_64bits_reset(state.get());
-  const auto hash = [&](std::string_view piece) {
-    XXH3_64bits_update(state.get(), piece.data(), piece.size());
+  const auto hash = [&](std::string_view chunk) {
+    XXH3_64bits_update(state.get(), chunk.data(), chunk.size());
   };
   if (const int code = read_range(file.number(), 0, contents.size, hash))
     return code;
   contents.digest = XXH3_64bits_digest(state.get());
   return read_range(file.number(), contents.size, size,
-                    [&](std::string_view piece) { contents.tail.append(piece); });
+                    [&](std::string_view chunk) { contents.tail.append(chunk); });
 }
 
 int FileSystem::read(const std::string& path, std::string& bytes) const {
@@ -204,7 +204,7 @@
   if (const int code = size_of(file, size))
     return code;
   bytes.reserve(size);
-  return read_range(file.number(), 0, size, [&](std::string_view piece) { bytes.append(piece); });
+  return read_range(file.number(), 0, size, [&](std::string_view chunk) { bytes.append(chunk); });
 }
 
 }  // namespace saddlewing
--- a/src/state/file_system.h
+++ b/src/state/file_system.h
@@ -11,7 +11,7 @@
  public:
   virtual ~FileSystem() = default;
   // An empty file of that name, whatever stood there.
-  virtual int clear(const std::string& path);
+  virtual int create_empty(const std::string& path);
   // Fills an empty file with an LMDB image that holds `record`. Nothing is synced.
   virtual int write_image(const std::string& path, const std::string& record);
   virtual int write(const std::string& path, std::uint64_t offset, const std::string& bytes);
--- a/tests/protocol/store_format_test.cpp
+++ b/tests/protocol/store_format_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-using Found = DurableStore::Found;
+using LoadStatus = DurableStore::LoadStatus;
 
 PersistentState durable_of(std::uint64_t index) {
   auto entry = std::make_shared<Entry>();
@@ -56,11 +56,11 @@
   expect_fixture(file, encode_persistent_state(persistent));
   const std::string bytes = read_fixture(file);
   PersistentState read;
-  cr_assert(decode_persistent_state(bytes, read) == Decoded::record, "%s", name.c_str());
+  cr_assert(decode_persistent_state(bytes, read) == DecodeStatus::decoded, "%s", name.c_str());
   expect_same(read, persistent);
   const auto decodes = [](const std::string& some) {
     PersistentState decoded;
-    return decode_persistent_state(some, decoded) == Decoded::record;
+    return decode_persistent_state(some, decoded) == DecodeStatus::decoded;
   };
   expect_prefixes_refused(name, bytes, decodes);
   for (std::size_t position = 0; position < bytes.size(); ++position) {
@@ -79,7 +79,7 @@
     write_file(folder + "/" + name, read_fixture("store/" + std::string(name)));
 }
 
-Found load(const std::string& folder, PersistentState& persistent) {
+LoadStatus load(const std::string& folder, PersistentState& persistent) {
   Error why;
   return DurableStore(folder).load(persistent, why);
 }
@@ -96,10 +96,10 @@
   const Folder folder;
   copy_store(folder.path());
   PersistentState persistent;
-  cr_assert(load(folder.path(), persistent) == Found::record);
+  cr_assert(load(folder.path(), persistent) == LoadStatus::loaded);
   expect_same(persistent, durable_of(723));
   std::filesystem::remove(folder.path() + "/" + slot_names[0]);
-  cr_assert(load(folder.path(), persistent) == Found::record);
+  cr_assert(load(folder.path(), persistent) == LoadStatus::loaded);
   expect_same(persistent, durable_of(722));
 }
 
@@ -110,7 +110,7 @@
   cr_assert(!DurableStore(folder.path()).save(durable_of(724)));
   cr_expect(read_file(folder.path() + "/" + slot_names[0]) == read_fixture("store/slot-0.mdb"),
             "the newest record stays");
-  cr_assert(load(folder.path(), persistent) == Found::record);
+  cr_assert(load(folder.path(), persistent) == LoadStatus::loaded);
   expect_same(persistent, durable_of(724));
 }
 
@@ -132,10 +132,10 @@
   for (std::size_t length = 0; length < newest.size();
        length += length + 96 < newest.size() ? 61 : 1) {
     write_file(folder.path() + "/" + slot_names[0], newest.substr(0, length));
-    cr_assert(load(folder.path(), persistent) == Found::record, "cut to %zu bytes", length);
+    cr_assert(load(folder.path(), persistent) == LoadStatus::loaded, "cut to %zu bytes", length);
     cr_expect(persistent.entry->index == Index{722}, "cut to %zu bytes", length);
   }
   std::filesystem::remove(folder.path() + "/" + slot_names[0]);
   write_file(folder.path() + "/" + slot_names[1], read_fixture("store/slot-1.mdb").substr(0, 100));
-  cr_expect(load(folder.path(), persistent) == Found::damaged);
+  cr_expect(load(folder.path(), persistent) == LoadStatus::damaged);
 }
--- a/tests/state/durable_store_test.cpp
+++ b/tests/state/durable_store_test.cpp
@@ -5,16 +5,16 @@
 
 #include <boost/crc.hpp>
 
-#include "state/file_system_model.h"
 #include "state/bytes.h"
 #include "state/durable_store.h"
+#include "state/file_system_model.h"
 
 using namespace saddlewing;
 
 namespace {
 
 using Failure = DiskModel::Failure;
-using Found = DurableStore::Found;
+using LoadStatus = DurableStore::LoadStatus;
 
 PersistentState durable_of(std::uint64_t index, const std::string& body) {
   auto entry = std::make_shared<Entry>();
@@ -34,7 +34,7 @@
   return body;
 }
 
-Found load(const std::string& folder, PersistentState& persistent) {
+LoadStatus load(const std::string& folder, PersistentState& persistent) {
   Error why;
   return DurableStore(folder).load(persistent, why);
 }
@@ -42,9 +42,9 @@
 // The index of what is found; 0: nothing, or a record named as damaged.
 std::uint64_t index_in(const std::string& folder, std::size_t size) {
   PersistentState persistent;
-  const Found found = load(folder, persistent);
-  cr_assert(found != Found::unknown_format && found != Found::unreadable);
-  if (found != Found::record)
+  const LoadStatus found = load(folder, persistent);
+  cr_assert(found != LoadStatus::unknown_format && found != LoadStatus::unreadable);
+  if (found != LoadStatus::loaded)
     return 0;
   const std::uint64_t index = persistent.entry->index.value;
   cr_assert(persistent.entry->body == body_of(index, size) && persistent.self.value == 5 &&
@@ -83,7 +83,7 @@
 bool save_by_rename(DiskModel& disk, const std::string& folder, const PersistentState& persistent) {
   const std::string fresh = folder + "/fresh.mdb";
   disk.remove(fresh);
-  return !disk.clear(fresh) && !disk.write_image(fresh, first_format(persistent)) &&
+  return !disk.create_empty(fresh) && !disk.write_image(fresh, first_format(persistent)) &&
          !disk.sync(fresh) && !disk.rename(fresh, folder + "/state.mdb") &&
          !disk.sync_folder(folder);
 }
@@ -95,16 +95,16 @@
   DurableStore store(folder.path());
   PersistentState found;
   Error why;
-  cr_expect(store.load(found, why) == Found::nothing);
+  cr_expect(store.load(found, why) == LoadStatus::empty);
   cr_assert(!store.save(durable_of(1, "one")));
   cr_assert(!store.save(durable_of(2, std::string(200000, 'x'))));
-  cr_assert(store.load(found, why) == Found::record);
+  cr_assert(store.load(found, why) == LoadStatus::loaded);
   cr_expect(found.entry->index.value == 2 && found.entry->body.size() == 200000 &&
             found.self.value == 5);
   cr_expect(found.entry->members == durable_of(2, "").entry->members);
   for (std::uint64_t index = 3; index < 9; ++index) {  // of a new life each
     cr_assert(!DurableStore(folder.path()).save(durable_of(index, "again")));
-    cr_assert(load(folder.path(), found) == Found::record);
+    cr_assert(load(folder.path(), found) == LoadStatus::loaded);
     cr_expect(found.entry->index.value == index);
   }
 }
@@ -302,16 +302,16 @@
     changed[at] ^= 1 << at % 8;
     write_file(path, changed);
     const bool is_mark = at >= bytes.size() - 16 && at < bytes.size() - 8;
-    cr_assert(load(folder.path(), found) == (is_mark ? Found::nothing : Found::damaged), "byte %d",
-              int(at));
+    cr_assert(load(folder.path(), found) == (is_mark ? LoadStatus::empty : LoadStatus::damaged),
+              "byte %d", int(at));
   }
   for (std::size_t size = 0; size < bytes.size(); size += size % 64 ? 1 : 61) {
     write_file(path, bytes.substr(0, size));
-    cr_assert(load(folder.path(), found) == Found::nothing, "cut to %d", int(size));
+    cr_assert(load(folder.path(), found) == LoadStatus::empty, "cut to %d", int(size));
   }
   write_file(folder.path() + "/slot-1.mdb",
              "");  // begun after slot 0 was synced: something was lost
-  cr_expect(load(folder.path(), found) == Found::damaged);
+  cr_expect(load(folder.path(), found) == LoadStatus::damaged);
 }
 
 // LMDB would believe a damaged page of a file without a seal; it is not asked.
@@ -362,7 +362,7 @@
     PersistentState found;
     Error why;
     DurableStore later(folder.path());
-    cr_expect(later.load(found, why) == Found::unknown_format);
+    cr_expect(later.load(found, why) == LoadStatus::unknown_format);
     cr_expect(why.text().find("format") != std::string::npos &&
                   why.text().find(".mdb") != std::string::npos,
               "%s", why.text().c_str());
@@ -381,11 +381,11 @@
   const std::string whole = read_file(folder.path() + "/slot-0.mdb");
   PersistentState found;
   DurableStore later(folder.path());
-  cr_expect(load(folder.path(), found) == Found::unreadable);
+  cr_expect(load(folder.path(), found) == LoadStatus::unreadable);
   cr_expect(later.save(durable_of(2, "two")));
   cr_expect(read_file(folder.path() + "/slot-0.mdb") == whole);
   std::filesystem::remove(folder.path() + "/slot-1.mdb");
-  cr_expect(load(folder.path(), found) == Found::record);
+  cr_expect(load(folder.path(), found) == LoadStatus::loaded);
   cr_expect(!later.save(durable_of(2, "two")));
 }
 
--- a/tests/state/file_system_model.h
+++ b/tests/state/file_system_model.h
@@ -70,10 +70,10 @@
 
 // A slot as a later version would close it: checksums right, the format's number higher.
 inline std::string of_later_format(std::string slot) {
-  const std::size_t seal = slot.size() - 48;
-  slot[seal] = 3;
-  const std::uint64_t sum = XXH3_64bits(slot.data() + seal, 40);
-  std::memcpy(slot.data() + seal + 40, &sum, sizeof sum);
+  const std::size_t checksum = slot.size() - 48;
+  slot[checksum] = 3;
+  const std::uint64_t sum = XXH3_64bits(slot.data() + checksum, 40);
+  std::memcpy(slot.data() + checksum + 40, &sum, sizeof sum);
   return slot;
 }
 
@@ -119,8 +119,8 @@
   std::function<void()> after_each;  // between any two operations
   bool is_strict = false;            // a new file, too, lasts only after its folder was synced
 
-  int clear(const std::string& path) override {
-    return run([&] { return FileSystem::clear(path); },
+  int create_empty(const std::string& path) override {
+    return run([&] { return FileSystem::create_empty(path); },
                [&](bool) {
                  Name& name = names_[name_of(path)];
                  if (!name.now) {
