--- a/src/registry/cluster_bootstrap.cpp
+++ b/src/registry/cluster_bootstrap.cpp
@@ -15,9 +15,8 @@
   return {hash | 1};
 }
 
-bool is_refused(DurableStore::LoadStatus found) {
-  return found == DurableStore::LoadStatus::unknown_format ||
-         found == DurableStore::LoadStatus::unreadable;
+bool is_refused(LoadStatus status) {
+  return status == LoadStatus::unknown_format || status == LoadStatus::unreadable;
 }
 
 }  // namespace
@@ -25,24 +24,22 @@
 std::optional<PersistentState> load_or_found(const NodeSettings& settings,
                                              const DurableStore& store, MemberId fresh,
                                              const std::function<bool()>& wait) {
-  PersistentState persistent;
-  Error why;
-  DurableStore::LoadStatus found = store.load(persistent, why);
-  if (found == DurableStore::LoadStatus::unknown_format)
-    LOG(ERROR) << "disk: store of a later format, left as it is: " << why.text();
-  if (found == DurableStore::LoadStatus::unreadable)
-    LOG(ERROR) << "disk: store cannot be read, left as it is: " << why.text();
-  const bool was_refused =
-      is_refused(found);  // then there was a store: whatever becomes of it, no core is founded
-  while (is_refused(found)) {
+  LoadResult loaded = store.load();
+  if (loaded.status == LoadStatus::unknown_format)
+    LOG(ERROR) << "disk: store of a later format, left as it is: " << loaded.error.text();
+  if (loaded.status == LoadStatus::unreadable)
+    LOG(ERROR) << "disk: store cannot be read, left as it is: " << loaded.error.text();
+  const bool was_refused = is_refused(
+      loaded.status);  // then there was a store: whatever becomes of it, no core is founded
+  while (is_refused(loaded.status)) {
     if (!wait())
       return std::nullopt;
-    found = store.load(persistent, why);
+    loaded = store.load();
   }
-  if (found == DurableStore::LoadStatus::loaded)
-    return persistent;
-  if (found == DurableStore::LoadStatus::damaged)
-    LOG(ERROR) << "disk: store damaged, treated as lost: " << why.text();
+  if (loaded.status == LoadStatus::loaded)
+    return loaded.persistent;
+  if (loaded.status == LoadStatus::damaged)
+    LOG(ERROR) << "disk: store damaged, treated as lost: " << loaded.error.text();
   auto entry = std::make_shared<Entry>();
   const std::string self = Address{settings.ip_address, settings.inner_port}.text();
   for (const Address& contact : settings.contacts) {
@@ -51,9 +48,8 @@
   }
   const bool is_founder = std::any_of(entry->members.begin(), entry->members.end(),
                                       [&](const Member& m) { return m.address == self; });
-  persistent = {};
-  if (settings.is_first_run && is_founder && found == DurableStore::LoadStatus::empty &&
-      !was_refused) {
+  PersistentState persistent;
+  if (settings.is_first_run && is_founder && loaded.status == LoadStatus::empty && !was_refused) {
     persistent.self = founder_id(self);
     LOG(INFO) << "agree: founds a core of " << entry->members.size();
   } else {
--- a/src/state/bytes.h
+++ b/src/state/bytes.h
@@ -1,28 +1,39 @@
 #pragma once
-// Numbers and texts as bytes: eight bytes a number, little end first; a text behind its length.
+// Numbers and texts as bytes, as they stand in frames and in stored records: eight bytes a number,
+// little end first; a text behind its length. What the values mean, their owners know. A writer or
+// reader belongs to one thread.
+#include <cstddef>
 #include <cstdint>
 #include <string>
 #include <string_view>
-
-#include "state/durable_store.h"
+#include <utility>
 
 namespace saddlewing {
 
+/** Bytes that a number takes. */
+inline constexpr std::size_t number_bytes = 8;
+
+/** Appends values to a string of bytes. */
 class Writer {
  public:
   Writer& number(std::uint64_t value) {
-    for (int shift = 0; shift < 64; shift += 8)
-      bytes_.push_back(static_cast<char>(value >> shift));
+    for (std::size_t position = 0; position < number_bytes; ++position)
+      bytes_.push_back(static_cast<char>(value >> (8 * position)));
     return *this;
   }
+
   Writer& text(std::string_view value) {
     number(value.size());
     bytes_.append(value);
     return *this;
   }
+
+  /** What was written so far; valid until the next call. */
   const std::string& bytes() const {
     return bytes_;
   }
+
+  /** Moves out what was written. */
   std::string take() {
     return std::move(bytes_);
   }
@@ -31,39 +42,59 @@
   std::string bytes_;
 };
 
-// Invariant: after the first read beyond the end every read gives 0 or nothing, and is_complete
-// stays false.
+/**
+ * Reads values back in the order in which they were written. It does not own the bytes. Invariant:
+ * after the first read beyond the end every read gives 0 or nothing, and `is_good` stays false; so
+ * a caller may read a whole message and ask once.
+ */
 class ByteReader {
  public:
   explicit ByteReader(std::string_view bytes) : rest_(bytes) {
   }
+
   std::uint64_t number() {
-    if (rest_.size() < 8)
-      return fail(), 0;
+    if (rest_.size() < number_bytes) {
+      fail();
+      return 0;
+    }
     std::uint64_t value = 0;
-    for (int position = 7; position >= 0; --position)
-      value = value << 8 | static_cast<unsigned char>(rest_[position]);
-    rest_.remove_prefix(8);
+    for (std::size_t position = number_bytes; position > 0; --position)
+      value = value << 8 | static_cast<unsigned char>(rest_[position - 1]);
+    rest_.remove_prefix(number_bytes);
     return value;
   }
+
   std::string text() {
     const std::uint64_t size = number();
-    if (size > rest_.size())
-      return fail(), std::string();
+    if (size > rest_.size()) {
+      fail();
+      return {};
+    }
     std::string value(rest_.substr(0, size));
     rest_.remove_prefix(size);
     return value;
   }
-  // A count of items that take at least `minimum` bytes each: never more than could be there.
+
+  /**
+   * Reads how many items follow.
+   * @param minimum bytes that each item takes at least; a count that cannot fit is an error, so no
+   *     caller allocates for it.
+   */
   std::uint64_t count(std::uint64_t minimum) {
     const std::uint64_t value = number();
-    if (value > rest_.size() / minimum)
-      return fail(), 0;
+    if (value > rest_.size() / minimum) {
+      fail();
+      return 0;
+    }
     return value;
   }
+
+  /** Whether every read so far found its bytes. */
   bool is_good() const {
     return is_good_;
   }
+
+  /** Whether every read found its bytes and none are left. */
   bool is_complete() const {
     return is_good_ && rest_.empty();
   }
@@ -73,55 +104,9 @@
     is_good_ = false;
     rest_ = {};
   }
+
   std::string_view rest_;
   bool is_good_ = true;
 };
 
-inline void write_members(Writer& writer, const std::vector<Member>& members) {
-  writer.number(members.size());
-  for (const Member& member : members)
-    writer.number(member.id.value).text(member.address);
-}
-
-inline void read_members(ByteReader& reader, std::vector<Member>& members) {
-  members.resize(reader.count(16));
-  for (Member& member : members) {
-    member.id.value = reader.number();
-    member.address = reader.text();
-  }
-}
-
-inline void write_entry(Writer& writer, const Entry& entry) {
-  writer.number(entry.term.value)
-      .number(entry.index.value)
-      .number(entry.version.value)
-      .text(entry.body);
-  writer.number(entry.core_size);
-  write_members(writer, entry.members);
-  if (entry.documents.empty() && entry.outgoing.empty())
-    return;  // as records of earlier versions end
-  writer.number(entry.documents.size());
-  for (const auto& [name, text] : entry.documents)
-    writer.text(name).text(text);
-  if (!entry.outgoing.empty())
-    write_members(writer, entry.outgoing);
-}
-
-inline void read_entry(ByteReader& reader, Entry& entry) {
-  entry.term.value = reader.number();
-  entry.index.value = reader.number();
-  entry.version.value = static_cast<std::int64_t>(reader.number());
-  entry.body = reader.text();
-  entry.core_size = static_cast<std::uint32_t>(reader.number());
-  read_members(reader, entry.members);
-  if (reader.is_complete())
-    return;
-  for (std::uint64_t left = reader.count(16); left > 0; --left) {
-    std::string name = reader.text();
-    entry.documents[std::move(name)] = reader.text();
-  }
-  if (!reader.is_complete())
-    read_members(reader, entry.outgoing);
-}
-
 }  // namespace saddlewing
--- a/src/state/durable_store.h
+++ b/src/state/durable_store.h
@@ -1,112 +1,94 @@
 #pragma once
-// What a registry must not lose, on LMDB: docs/design/control.md, "The store".
+// Keeps a registry's PersistentState on disk so that it outlasts a loss of power: see
+// docs/design/control.md, "The store". When to save is Raft's business. A store belongs to one
+// thread: the one that starts the registry, then the storage thread.
+#include <array>
 #include <cstdint>
-#include <functional>
-#include <map>
 #include <memory>
 #include <string>
-#include <string_view>
-#include <vector>
+#include <utility>
 
 #include "state/error.h"
 #include "state/file_system.h"
-#include "state/types.h"
+#include "state/persistent_state.h"
 
 namespace saddlewing {
 
-struct Member {
-  MemberId id;
-  std::string address;  // inner address, host:port
-  auto operator<=>(const Member&) const = default;
-};
-
-// One entry of the agreement. It holds the whole state, so it stands for all entries before it.
-struct Entry {
-  Term term;
-  Index index;
-  Version version;
-  std::string body;
-  std::vector<Member> members;
-  // Of a joint entry: the members before. A majority of each list counts until the entry after it,
-  // which has none.
-  std::vector<Member> outgoing;
-  std::uint32_t core_size = 0;  // how many voters the core wants
-  std::map<std::string, std::string>
-      documents;  // further agreed tables by name: leads of databases, the ring
-};
-using EntrySnapshot = std::shared_ptr<const Entry>;
-
-// Invariant: `self` never changes once written; `term` never falls; `vote` is of `term`.
-struct PersistentState {
-  MemberId self;
-  Term term;
-  MemberId vote;
-  EntrySnapshot entry;
-};
-
-// Format 2 is written, format 1 is still read. A format's number comes first, its checksum last.
-enum class DecodeStatus {
-  decoded,
-  damaged,
-  unknown_format
-};
-std::string encode_persistent_state(const PersistentState& persistent);
-DecodeStatus decode_persistent_state(std::string_view bytes, PersistentState& persistent);
-
-// Two slots, written in turn and never renamed; each is an LMDB image closed by a seal with a
-// checksum over all of it and a serial that rises. LMDB trusts its pages, so it opens no slot whose
-// seal does not match. Invariant: the slot with the newest synced record is never written; a slot
-// that fails is written again.
+/**
+ * Two slots, written in turn and never renamed. Each is an LMDB image closed by a RecordChecksum
+ * over all of it, with a serial that rises. LMDB trusts its pages, so it opens no slot whose
+ * checksum does not match. Invariant: the slot with the newest synced record is never written; a
+ * slot whose save failed is written again.
+ */
 class DurableStore {
  public:
-  // `unreadable`: what is there is not known. It and `unknown_format` are neither served nor
-  // written over.
-  enum class LoadStatus {
-    empty,
-    loaded,
-    damaged,
-    unknown_format,
-    unreadable
-  };
-
+  /**
+   * @param folder exists and is this store's alone.
+   * @param file_system a test's stand-in for the disk.
+   */
   explicit DurableStore(std::string folder,
-                        std::shared_ptr<FileSystem> disk = std::make_shared<FileSystem>())
-      : folder_(std::move(folder)), file_system_(std::move(disk)) {
+                        std::shared_ptr<FileSystem> file_system = std::make_shared<FileSystem>())
+      : folder_(std::move(folder)), file_system_(std::move(file_system)) {
   }
-  LoadStatus load(PersistentState& persistent, Error& error) const;
-  // No fault: `persistent` outlasts any loss of power. A fault: the record before does, or this
-  // one.
+
+  /** Loads the newest record. Writes nothing. */
+  LoadResult load() const;
+
+  /**
+   * Writes and syncs a record; takes as long as the disk does.
+   * @return no error: `persistent` outlasts any loss of power. An error, whose step names the
+   *     operation that failed: either the record before does, or this one.
+   */
   Error save(const PersistentState& persistent);
 
  private:
-  // Incomplete: its save never came to the checksum.
   struct Slot {
     enum class State {
       absent,
+      /** Its save never came to the checksum. */
       incomplete,
       damaged,
       valid,
       unknown_format,
       unreadable
-    } state = State::absent;
+    };
+    State state = State::absent;
     std::uint64_t serial = 0;
+    /** Why it is not valid. */
     Error error;
   };
+  using Slots = std::array<Slot, 2>;
+
+  static constexpr int no_slot = -1;
+
   std::string path_of(int slot) const {
     return folder_ + (slot ? "/slot-1.mdb" : "/slot-0.mdb");
   }
   Slot inspect_slot(int slot) const;
-  // -1: none is whole.
-  static int newest_valid(const Slot (&slots)[2]);
-  LoadStatus load_legacy(PersistentState& persistent, Error& error) const;
+  Slots inspect_slots() const {
+    return {inspect_slot(0), inspect_slot(1)};
+  }
+  /** The valid slot with the highest serial, or `no_slot`. */
+  static int newest_valid(const Slots& slots);
+  LoadResult load_slot(int slot) const;
+  /** Once in a life, before the first save: finds the newest slot and syncs it. */
   Error prepare();
-  Error write(int slot, std::uint64_t serial, const std::string& record);
+  Error sync_newest(int newest);
+  Error write_slot(int slot, std::uint64_t serial, const std::string& record);
+  void remove_legacy_files();
+
+  const std::string folder_;
+  const std::shared_ptr<FileSystem> file_system_;
+
+  // Of the saves of this life.
 
-  std::string folder_;
-  std::shared_ptr<FileSystem> file_system_;
-  // Of the saves of this life. Invariant: `newest_` was synced once `is_prepared_`.
-  bool is_prepared_ = false, is_folder_synced_ = false, has_legacy_files_ = false;
-  int newest_ = -1;
+  bool is_prepared_ = false;
+  /** Whether both slots have their names for good. */
+  bool is_folder_synced_ = false;
+  bool has_legacy_files_ = false;
+  /** Invariant: synced once `is_prepared_`. */
+  int newest_ = no_slot;
+  /** Of the last save, also if it failed. */
   std::uint64_t serial_ = 0;
 };
 
--- a/src/state/file_system.cpp
+++ b/src/state/file_system.cpp
@@ -11,13 +11,14 @@
 #include <functional>
 #include <memory>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 namespace saddlewing {
 namespace {
 
-constexpr std::size_t map_bytes = 64u << 20;
-constexpr std::size_t chunk_bytes = 64u << 10;
+constexpr std::size_t map_bytes = 64u << 20;    // the most that an image may take
+constexpr std::size_t chunk_bytes = 64u << 10;  // read at a time
 
 struct CloseEnvironment {
   void operator()(MDB_env* environment) const {
@@ -39,6 +40,7 @@
   }
 };
 
+/** Owns a file descriptor. */
 class Descriptor {
  public:
   explicit Descriptor(int number) : number_(number) {
@@ -60,16 +62,35 @@
   int number_;
 };
 
-Environment open_environment(const std::string& path, unsigned flags, int& code) {
-  MDB_env* raw = nullptr;
-  code = mdb_env_create(&raw);
-  if (code)
-    return nullptr;
-  Environment environment(raw);
-  code = mdb_env_set_mapsize(raw, map_bytes);
-  if (!code)
-    code = mdb_env_open(raw, path.c_str(), flags | MDB_NOSUBDIR | MDB_NOLOCK | MDB_NOTLS, 0644);
-  return code ? nullptr : std::move(environment);
+/** An LMDB image, open for one transaction. Members are closed in reverse order. */
+struct Image {
+  Environment environment;
+  Transaction transaction;
+  MDB_dbi table = 0;
+
+  int open(const std::string& path, unsigned environment_flags, unsigned transaction_flags) {
+    constexpr unsigned single_file = MDB_NOSUBDIR | MDB_NOLOCK | MDB_NOTLS;
+    constexpr mdb_mode_t file_mode = 0644;
+    MDB_env* raw_environment = nullptr;
+    if (const int code = mdb_env_create(&raw_environment))
+      return code;
+    environment.reset(raw_environment);
+    if (const int code = mdb_env_set_mapsize(raw_environment, map_bytes))
+      return code;
+    if (const int code =
+            mdb_env_open(raw_environment, path.c_str(), environment_flags | single_file, file_mode))
+      return code;
+    MDB_txn* raw_transaction = nullptr;
+    if (const int code =
+            mdb_txn_begin(raw_environment, nullptr, transaction_flags, &raw_transaction))
+      return code;
+    transaction.reset(raw_transaction);
+    return mdb_dbi_open(raw_transaction, nullptr, 0, &table);
+  }
+};
+
+MDB_val image_key() {
+  return {sizeof record_key, const_cast<char*>(record_key)};
 }
 
 int sync_at(const std::string& path, int flags) {
@@ -77,7 +98,7 @@
   return file.is_open() && ::fsync(file.number()) == 0 ? 0 : errno;
 }
 
-// Bytes from `offset` up to `end` or the file's end, in chunks.
+/** Hands over the bytes from `offset` up to `end` or the file's end, in chunks. */
 int read_range(int descriptor, std::uint64_t offset, std::uint64_t end,
                const std::function<void(std::string_view)>& take) {
   std::vector<char> chunk(std::min<std::uint64_t>(chunk_bytes, end - offset));
@@ -97,6 +118,7 @@
   return 0;
 }
 
+/** Size of a regular file; `file` may have failed to open. */
 int size_of(const Descriptor& file, std::uint64_t& size) {
   struct stat facts {};
   if (!file.is_open() || ::fstat(file.number(), &facts) != 0)
@@ -109,48 +131,38 @@
 
 }  // namespace
 
+Error disk_error(std::string step, int code) {
+  if (code == 0)
+    return {};
+  return make_error(ErrorCode::disk, std::move(step), mdb_strerror(code));
+}
+
 int FileSystem::create_empty(const std::string& path) {
   const Descriptor file(::open(path.c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0644));
   return file.is_open() && ::ftruncate(file.number(), 0) == 0 ? 0 : errno;
 }
 
 int FileSystem::write_image(const std::string& path, const std::string& record) {
-  int code = 0;
-  const Environment environment = open_environment(path, MDB_NOSYNC, code);
-  if (!environment)
+  Image image;
+  if (const int code = image.open(path, MDB_NOSYNC, 0))
     return code;
-  MDB_txn* raw = nullptr;
-  code = mdb_txn_begin(environment.get(), nullptr, 0, &raw);
-  if (code)
+  MDB_val key = image_key();
+  MDB_val value{record.size(), const_cast<char*>(record.data())};
+  if (const int code = mdb_put(image.transaction.get(), image.table, &key, &value, 0))
     return code;
-  Transaction transaction(raw);
-  MDB_dbi table = 0;
-  MDB_val key{sizeof record_key, const_cast<char*>(record_key)},
-      value{record.size(), const_cast<char*>(record.data())};
-  code = mdb_dbi_open(raw, nullptr, 0, &table);
-  if (!code)
-    code = mdb_put(raw, table, &key, &value, 0);
-  return code ? code : mdb_txn_commit(transaction.release());
+  return mdb_txn_commit(image.transaction.release());
 }
 
 int FileSystem::read_image(const std::string& path, std::string& record) const {
-  int code = 0;
-  const Environment environment = open_environment(path, MDB_RDONLY, code);
-  if (!environment)
+  Image image;
+  if (const int code = image.open(path, MDB_RDONLY, MDB_RDONLY))
     return code;
-  MDB_txn* raw = nullptr;
-  code = mdb_txn_begin(environment.get(), nullptr, MDB_RDONLY, &raw);
-  if (code)
+  MDB_val key = image_key();
+  MDB_val value{};
+  if (const int code = mdb_get(image.transaction.get(), image.table, &key, &value))
     return code;
-  const Transaction transaction(raw);
-  MDB_dbi table = 0;
-  MDB_val key{sizeof record_key, const_cast<char*>(record_key)}, value{};
-  code = mdb_dbi_open(raw, nullptr, 0, &table);
-  if (!code)
-    code = mdb_get(raw, table, &key, &value);
-  if (!code)
-    record.assign(static_cast<const char*>(value.mv_data), value.mv_size);
-  return code;
+  record.assign(static_cast<const char*>(value.mv_data), value.mv_size);
+  return 0;
 }
 
 int FileSystem::write(const std::string& path, std::uint64_t offset, const std::string& bytes) {
--- a/tests/protocol/store_format_test.cpp
+++ b/tests/protocol/store_format_test.cpp
@@ -9,8 +9,6 @@
 
 namespace {
 
-using LoadStatus = DurableStore::LoadStatus;
-
 PersistentState durable_of(std::uint64_t index) {
   auto entry = std::make_shared<Entry>();
   entry->term = {701};
@@ -80,8 +78,10 @@
 }
 
 LoadStatus load(const std::string& folder, PersistentState& persistent) {
-  Error why;
-  return DurableStore(folder).load(persistent, why);
+  LoadResult result = DurableStore(folder).load();
+  if (result.status == LoadStatus::loaded)
+    persistent = std::move(result.persistent);
+  return result.status;
 }
 
 }  // namespace
--- a/tests/state/durable_store_test.cpp
+++ b/tests/state/durable_store_test.cpp
@@ -14,7 +14,6 @@
 namespace {
 
 using Failure = DiskModel::Failure;
-using LoadStatus = DurableStore::LoadStatus;
 
 PersistentState durable_of(std::uint64_t index, const std::string& body) {
   auto entry = std::make_shared<Entry>();
@@ -35,8 +34,10 @@
 }
 
 LoadStatus load(const std::string& folder, PersistentState& persistent) {
-  Error why;
-  return DurableStore(folder).load(persistent, why);
+  LoadResult result = DurableStore(folder).load();
+  if (result.status == LoadStatus::loaded)
+    persistent = std::move(result.persistent);
+  return result.status;
 }
 
 // The index of what is found; 0: nothing, or a record named as damaged.
@@ -94,11 +95,12 @@
   const Folder folder;
   DurableStore store(folder.path());
   PersistentState found;
-  Error why;
-  cr_expect(store.load(found, why) == LoadStatus::empty);
+  cr_expect(store.load().status == LoadStatus::empty);
   cr_assert(!store.save(durable_of(1, "one")));
   cr_assert(!store.save(durable_of(2, std::string(200000, 'x'))));
-  cr_assert(store.load(found, why) == LoadStatus::loaded);
+  LoadResult result = store.load();
+  cr_assert(result.status == LoadStatus::loaded);
+  found = std::move(result.persistent);
   cr_expect(found.entry->index.value == 2 && found.entry->body.size() == 200000 &&
             found.self.value == 5);
   cr_expect(found.entry->members == durable_of(2, "").entry->members);
@@ -359,13 +361,12 @@
                         {{"state.mdb", image}}};
   for (const Files& files : rows) {
     fill_folder(folder.path(), files);
-    PersistentState found;
-    Error why;
     DurableStore later(folder.path());
-    cr_expect(later.load(found, why) == LoadStatus::unknown_format);
-    cr_expect(why.text().find("format") != std::string::npos &&
-                  why.text().find(".mdb") != std::string::npos,
-              "%s", why.text().c_str());
+    const LoadResult result = later.load();
+    cr_expect(result.status == LoadStatus::unknown_format);
+    const std::string error = result.error.text();
+    cr_expect(error.find("format") != std::string::npos && error.find(".mdb") != std::string::npos,
+              "%s", error.c_str());
     cr_expect(later.save(durable_of(9, "nine")));
     cr_expect(read_folder(folder.path()) == files);
   }
