--- a/src/coordination/placement/ring_load_monitor.cpp
+++ b/src/coordination/placement/ring_load_monitor.cpp
@@ -172,7 +172,7 @@
                                                    : options.distance_region;
   const double pace =
       std::min({giver.disk_mb_s, taker.disk_mb_s, giver.link_mb_s, taker.link_mb_s});
-  return ring.size_of(unit).second * distance / pace;
+  return ring.size_of(unit).disk_mb * distance / pace;
 }
 
 RingReport RingLoadMonitor::report(const RingMap& ring, const std::vector<RingLoad>& loads,
@@ -305,7 +305,9 @@
     proposal.from = ring.nodes[from].name;
     proposal.to = ring.nodes[best_to].name;
     proposal.load = best->load;
-    std::tie(proposal.memory_mb, proposal.disk_mb) = ring.size_of(best->unit);
+    const RingSize size = ring.size_of(best->unit);
+    proposal.memory_mb = size.memory_mb;
+    proposal.disk_mb = size.disk_mb;
     proposal.cost = move_cost(ring, best->unit, from, best_to, options_);
     busy[from] -= best->load.busy_ms;
     busy[best_to] += best->load.busy_ms;
