--- a/src/state/compression.h
+++ b/src/state/compression.h
@@ -1,38 +1,19 @@
 #pragma once
-// Texts packed for narrow links, by the library's deflate.
-#include <Poco/DeflatingStream.h>
-#include <Poco/Exception.h>
-#include <Poco/InflatingStream.h>
-
-#include <sstream>
+// Compression of texts for narrow links, by zlib's deflate. Safe from any thread.
+#include <cstddef>
 #include <string>
 
 namespace saddlewing {
 
-inline std::string pack(const std::string& text) {
-  std::ostringstream packed;
-  Poco::DeflatingOutputStream stream(packed, Poco::DeflatingStreamBuf::STREAM_ZLIB, 6);
-  stream.write(text.data(), static_cast<std::streamsize>(text.size()));
-  stream.close();
-  return packed.str();
-}
+/** Compresses a text, at zlib's default level. */
+std::string pack(const std::string& text);
 
-// False: damaged, or larger than `limit`.
-inline bool unpack(const std::string& packed, std::size_t limit, std::string& text) {
-  std::istringstream source(packed);
-  text.clear();
-  try {
-    Poco::InflatingInputStream stream(source, Poco::InflatingStreamBuf::STREAM_ZLIB);
-    char bytes[16384];
-    while (stream.read(bytes, sizeof bytes) || stream.gcount() > 0) {
-      text.append(bytes, static_cast<std::size_t>(stream.gcount()));
-      if (text.size() > limit)
-        return false;
-    }
-    return stream.eof() && !stream.bad();
-  } catch (const std::exception&) {
-    return false;
-  }
-}
+/**
+ * Expands what `pack` made.
+ * @param limit bytes that the text may have; what is larger is refused before it fills the memory.
+ * @param text is unspecified where false is returned.
+ * @return false: damaged, or larger than `limit`.
+ */
+bool unpack(const std::string& packed, std::size_t limit, std::string& text);
 
 }  // namespace saddlewing
