--- a/src/broker/backend_connection.cpp
+++ b/src/broker/backend_connection.cpp
@@ -113,14 +113,14 @@
   }
   if (!caller_.was_connected()) {
     backend_->breaker.fail(now, true);
-    report_failure(ErrorCode::silent, false);
+    report_failure(ErrorCode::no_response, false);
     const RequestContextPointer context = release();
     const std::size_t part = part_;
     traffic_.count_edge(backend_->service, backend_->zone, EdgeClass::light, elapsed(asked_, now),
                         true);
     caller_.end();
     traffic_.defer_delete(this);
-    context->requester->handle_failure(part, ErrorCode::silent, false, now);
+    context->requester->handle_failure(part, ErrorCode::no_response, false, now);
     return traffic_.arrange(*context);
   }
   const TimePoint last = context_->requester->deadline() + past_deadline;
@@ -133,11 +133,11 @@
   }
   traffic_.count_edge(backend_->service, backend_->zone,
                       is_heavy_ ? EdgeClass::heavy : EdgeClass::light, elapsed(asked_, now), true);
-  report_failure(ErrorCode::silent, true);
+  report_failure(ErrorCode::no_response, true);
   const RequestContextPointer context = release();
   caller_.end();
   traffic_.defer_delete(this);
-  context->requester->handle_failure(part_, ErrorCode::silent, true, now);
+  context->requester->handle_failure(part_, ErrorCode::no_response, true, now);
   traffic_.arrange(*context);
 }
 
@@ -175,7 +175,7 @@
                   (outcome.seal.empty() || outcome.seal.find_first_of(", ") != std::string::npos ||
                    response.has("Content-Encoding")))) {
     caller.end();
-    return on_failure(caller, ErrorCode::garbled, now);
+    return on_failure(caller, ErrorCode::invalid_response, now);
   }
   const Duration took = elapsed(asked_, now);
   if (outcome.status == 421)
--- a/src/coordination/routing/delegated_gather.cpp
+++ b/src/coordination/routing/delegated_gather.cpp
@@ -28,7 +28,7 @@
     const PickResult picked =
         ground_.pick(candidates.backends, part.tried, candidates.max_connections, now, {});
     if (!picked.backend) {
-      next_.failed.push_back({index, static_cast<std::uint64_t>(ErrorCode::nobody_up), false});
+      next_.failed.push_back({index, static_cast<std::uint64_t>(ErrorCode::no_backend_up), false});
       return settle(index, now);
     }
     part.tried.push_back(picked.backend);
@@ -46,10 +46,11 @@
     next_.done.push_back({index, std::move(outcome.seal)});
     best_.add(outcome.body);
   } else {
-    next_.failed.push_back({index,
-                            static_cast<std::uint64_t>(outcome.is_not_run ? ErrorCode::turned_away
-                                                                          : ErrorCode::garbled),
-                            true});
+    next_.failed.push_back(
+        {index,
+         static_cast<std::uint64_t>(outcome.is_not_run ? ErrorCode::refused_by_backends
+                                                       : ErrorCode::invalid_response),
+         true});
   }
   settle(index, now);
 }
--- a/src/coordination/routing/proxied_request.cpp
+++ b/src/coordination/routing/proxied_request.cpp
@@ -82,7 +82,7 @@
   }
   const double share = 1 - static_cast<double>(empty) / static_cast<double>(parts_.size());
   if (empty == parts_.size() || (is_gathering() && share < route_.min_parts_share)) {
-    worst_ = ErrorCode::nobody_up;
+    worst_ = ErrorCode::no_backend_up;
     return finish_failed(now);
   }
   state_ = State::attempting;
@@ -123,7 +123,7 @@
   const bool is_extra = part.sent > 0;
   if (is_extra && !ground_.budget(service.name).allows_extra(now, ground_.reserve(now))) {
     if (!part.active)
-      fail_part(part, worst_ == ErrorCode::none ? ErrorCode::turned_away : worst_, now);
+      fail_part(part, worst_ == ErrorCode::none ? ErrorCode::refused_by_backends : worst_, now);
     return;
   }
   const auto& backends = table_->by_service[part.service.value];
@@ -136,7 +136,7 @@
     if (is_further || part.active)
       return;
     if (!picked.is_full)
-      return fail_part(part, ErrorCode::nobody_up, now);
+      return fail_part(part, ErrorCode::no_backend_up, now);
     if (!is_gathering() && now - began_ > route_.target / 4)
       return fail_part(part, ErrorCode::overloaded, now);
     part.asked = {};
@@ -168,7 +168,7 @@
     return;
   part.is_failed = true;
   ++failed_;
-  if (worst_ == ErrorCode::none || status_of(worst_).status == 503)
+  if (worst_ == ErrorCode::none || status_line_of(worst_).status == 503)
     worst_ = kind;
 }
 
@@ -200,7 +200,7 @@
   }
   // Passed on, its status would promise the client that it has not run and never will.
   if (!route_.is_harmless && !outcome.is_not_run && is_promise(outcome.status)) {
-    fail_part(part, ErrorCode::broke_off, now);
+    fail_part(part, ErrorCode::connection_lost, now);
     return consider(now);
   }
   if (!is_gathering() && !outcome.is_not_run) {
@@ -216,7 +216,9 @@
     if (may_ask_again(part))
       ask(index, false, now);
     else
-      fail_part(part, outcome.is_not_run ? ErrorCode::turned_away : ErrorCode::garbled, now);
+      fail_part(part,
+                outcome.is_not_run ? ErrorCode::refused_by_backends : ErrorCode::invalid_response,
+                now);
   }
   if (is_open())
     consider(now);
@@ -278,7 +280,7 @@
   if (!is_open())
     return;
   if (now >= deadline_) {
-    if (worst_ == ErrorCode::none || status_of(worst_).status == 503)
+    if (worst_ == ErrorCode::none || status_line_of(worst_).status == 503)
       worst_ = has_run_ || done_ || state_ != State::holding ? ErrorCode::deadline_reached
                                                              : ErrorCode::overloaded;
     if (is_gathering() &&
@@ -382,9 +384,9 @@
   // 503 promises that nothing ran and nothing will: an asking still at work forbids it.
   const bool is_at_work =
       std::any_of(parts_.begin(), parts_.end(), [](const Part& part) { return part.active > 0; });
-  if (status_of(worst_).status == 503 && (has_run_ || is_at_work || done_))
-    answer.kind = is_at_work ? ErrorCode::deadline_reached : ErrorCode::broke_off;
-  if (status_of(answer.kind).status == 503)
+  if (status_line_of(worst_).status == 503 && (has_run_ || is_at_work || done_))
+    answer.kind = is_at_work ? ErrorCode::deadline_reached : ErrorCode::connection_lost;
+  if (status_line_of(answer.kind).status == 503)
     answer.retry_after = Duration(300);
   finish(std::move(answer), now);
 }
--- a/src/coordination/routing/proxied_request_delegation.cpp
+++ b/src/coordination/routing/proxied_request_delegation.cpp
@@ -45,7 +45,7 @@
     if (!parts_[index].is_delegated)
       continue;
     parts_[index].is_delegated = false;
-    handle_failure(index, ErrorCode::silent, may_have_run, now);
+    handle_failure(index, ErrorCode::no_response, may_have_run, now);
   }
 }
 
@@ -73,7 +73,7 @@
     Part& part = parts_[done.part];
     part.is_delegated = false;
     if (!is_wanted) {
-      handle_failure(done.part, ErrorCode::silent, true, now);
+      handle_failure(done.part, ErrorCode::no_response, true, now);
       if (!is_open())
         return;
       continue;
@@ -88,9 +88,9 @@
     if (!is_expected(failed.part))
       continue;
     parts_[failed.part].is_delegated = false;
-    const auto kind = failed.kind == static_cast<std::uint64_t>(ErrorCode::turned_away)
-                          ? ErrorCode::turned_away
-                          : ErrorCode::broke_off;
+    const auto kind = failed.kind == static_cast<std::uint64_t>(ErrorCode::refused_by_backends)
+                          ? ErrorCode::refused_by_backends
+                          : ErrorCode::connection_lost;
     handle_failure(failed.part, kind, failed.may_have_run, now);
     if (!is_open())
       return;
--- a/src/registry/operator_api.cpp
+++ b/src/registry/operator_api.cpp
@@ -26,7 +26,7 @@
   value["reason"] = reason;
   Json::StreamWriterBuilder builder;
   builder["indentation"] = "";
-  const StatusLine line = status_of(kind);
+  const StatusLine line = status_line_of(kind);
   Reply reply{line.status, line.reason, "Content-Type: application/json\r\n",
               Json::writeString(builder, value) + "\n"};
   if (kind == ErrorCode::wrong_method)
--- a/src/state/error.cpp
+++ b/src/state/error.cpp
@@ -13,7 +13,7 @@
 constexpr Row rows[] = {
     {ErrorCode::none, "no error", 200, "OK"},
     {ErrorCode::malformed, "malformed message", 400, "Bad Request"},
-    {ErrorCode::length_required_conflict, "conflicting framing", 400, "Bad Request"},
+    {ErrorCode::conflicting_framing, "conflicting framing", 400, "Bad Request"},
     {ErrorCode::unsupported_coding, "transfer coding not supported", 501, "Not Implemented"},
     {ErrorCode::head_too_large, "head too large", 431, "Request Header Fields Too Large"},
     {ErrorCode::body_too_large, "body too large", 413, "Payload Too Large"},
@@ -24,14 +24,14 @@
     {ErrorCode::expectation, "expectation not met", 417, "Expectation Failed"},
     {ErrorCode::not_ready, "not ready", 503, "Service Unavailable"},
     {ErrorCode::overloaded, "overloaded", 503, "Service Unavailable"},
-    {ErrorCode::nobody_up, "no backend is up", 503, "Service Unavailable"},
+    {ErrorCode::no_backend_up, "no backend is up", 503, "Service Unavailable"},
     {ErrorCode::no_leader, "no leader reached", 503, "Service Unavailable"},
     {ErrorCode::draining, "leaving", 503, "Service Unavailable"},
-    {ErrorCode::turned_away, "turned away by the backends", 503, "Service Unavailable"},
+    {ErrorCode::refused_by_backends, "turned away by the backends", 503, "Service Unavailable"},
     {ErrorCode::refused_connection, "connection refused", 503, "Service Unavailable"},
-    {ErrorCode::silent, "backend silent", 504, "Gateway Timeout"},
-    {ErrorCode::broke_off, "backend broke off", 502, "Bad Gateway"},
-    {ErrorCode::garbled, "backend sent no proper answer", 502, "Bad Gateway"},
+    {ErrorCode::no_response, "backend silent", 504, "Gateway Timeout"},
+    {ErrorCode::connection_lost, "backend broke off", 502, "Bad Gateway"},
+    {ErrorCode::invalid_response, "backend sent no proper answer", 502, "Bad Gateway"},
     {ErrorCode::deadline_reached, "cutoff reached", 504, "Gateway Timeout"},
     {ErrorCode::invalid, "invalid", 400, "Bad Request"},
     {ErrorCode::unreadable, "cannot be read", 400, "Bad Request"},
@@ -65,7 +65,7 @@
   return instance;
 }
 
-StatusLine status_of(ErrorCode kind) {
+StatusLine status_line_of(ErrorCode kind) {
   const Row& row = row_of(kind);
   return {row.status, row.reason};
 }
--- a/src/state/error.h
+++ b/src/state/error.h
@@ -10,7 +10,7 @@
   none = 0,
   // what a client sent
   malformed,
-  length_required_conflict,
+  conflicting_framing,
   unsupported_coding,
   head_too_large,
   body_too_large,
@@ -22,15 +22,15 @@
   // what this system could not do, with nothing run
   not_ready,
   overloaded,
-  nobody_up,
+  no_backend_up,
   no_leader,
   draining,
   // what a backend did, possibly after running
-  turned_away,
+  refused_by_backends,
   refused_connection,
-  silent,
-  broke_off,
-  garbled,
+  no_response,
+  connection_lost,
+  invalid_response,
   deadline_reached,
   // configuration and startup
   invalid,
@@ -67,7 +67,7 @@
   int status;
   const char* reason;
 };
-StatusLine status_of(ErrorCode kind);
+StatusLine status_line_of(ErrorCode kind);
 
 }  // namespace saddlewing
 
--- a/src/transport/http_client_connection.cpp
+++ b/src/transport/http_client_connection.cpp
@@ -95,7 +95,7 @@
       return fail(ErrorCode::deadline_reached, now);
     const Transfer gone = tcp_.send(out_.data() + sent_, out_.size() - sent_);
     if (gone.is_closed)
-      return fail(ErrorCode::broke_off, now);
+      return fail(ErrorCode::connection_lost, now);
     if (!gone.count)
       return poller_.change(tcp_.socket(), Poller::read | Poller::write);
     sent_ += gone.count;
@@ -132,11 +132,11 @@
   for (;;) {
     const Transfer got = tcp_.receive(bytes, sizeof bytes);
     if (got.is_closed)
-      return fail(ErrorCode::broke_off, now);
+      return fail(ErrorCode::connection_lost, now);
     if (!got.count)
       return;
     if (state_ == State::idle)
-      return fail(ErrorCode::garbled, now);
+      return fail(ErrorCode::invalid_response, now);
     has_received_ = true;
     in_.append(bytes, got.count);
     MessageReader::Step step;
@@ -148,7 +148,7 @@
         reader_.expect_no_body();
     }
     if (step == MessageReader::Step::failed || (step == MessageReader::Step::done && is_of_two()))
-      return fail(ErrorCode::garbled, now);
+      return fail(ErrorCode::invalid_response, now);
     if (step == MessageReader::Step::done)
       break;
     if (got.count < sizeof bytes)
--- a/src/transport/http_message.cpp
+++ b/src/transport/http_message.cpp
@@ -130,14 +130,14 @@
     if (is_same_name(name, "Content-Length")) {
       std::size_t length = 0;
       if (!parse_length(value, length) || (has_length && length != facts.length))
-        return ErrorCode::length_required_conflict;
+        return ErrorCode::conflicting_framing;
       if (has_length && is_request)
-        return ErrorCode::length_required_conflict;
+        return ErrorCode::conflicting_framing;
       facts.length = length;
       has_length = true;
     } else if (is_same_name(name, "Transfer-Encoding")) {
       if (has_coding)
-        return ErrorCode::length_required_conflict;
+        return ErrorCode::conflicting_framing;
       if (!is_same_name(value, "chunked"))
         return ErrorCode::unsupported_coding;
       has_coding = true;
@@ -155,9 +155,9 @@
     }
   }
   if (has_length && has_coding)
-    return ErrorCode::length_required_conflict;
+    return ErrorCode::conflicting_framing;
   if (has_coding && facts.is_old)
-    return ErrorCode::length_required_conflict;
+    return ErrorCode::conflicting_framing;
   if (is_request && (hosts > 1 || (hosts == 0 && !facts.is_old)))
     return ErrorCode::malformed;
   if (has_coding)
@@ -217,13 +217,13 @@
     const int status = response_.getStatus();
     if (status >= 100 && status < 200) {
       if (status == 101)
-        return fail(ErrorCode::garbled);
+        return fail(ErrorCode::invalid_response);
       return read_head(buffer);
     }
     if (is_bodiless_ || status == 204 || status == 304)
       facts_.framing = Framing::none;
     if (facts_.framing == Framing::until_close)
-      return fail(ErrorCode::garbled);  // its end could not be told from a break
+      return fail(ErrorCode::invalid_response);  // its end could not be told from a break
   }
   if (facts_.framing == Framing::length && facts_.length > max_body_)
     return fail(ErrorCode::body_too_large);
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -28,7 +28,7 @@
 }  // namespace
 
 Reply reply_of(ErrorCode kind, const std::string& text) {
-  const StatusLine line = status_of(kind);
+  const StatusLine line = status_line_of(kind);
   Reply reply{line.status, line.reason, "Content-Type: text/plain\r\n",
               text.empty() ? make_error_code(kind).message() : text};
   reply.body += "\n";
--- a/tests/coordination/routing/delegated_gather_test.cpp
+++ b/tests/coordination/routing/delegated_gather_test.cpp
@@ -28,7 +28,7 @@
   cr_assert(stage.asked.empty());
   stage.request->handle_gather_result(
       frame({{0, "a"}, {1, "b"}, {2, "c"}},
-            {{3, static_cast<std::uint64_t>(ErrorCode::broke_off), true}}, record('z')),
+            {{3, static_cast<std::uint64_t>(ErrorCode::connection_lost), true}}, record('z')),
       Duration(30), start + 30ms);
   cr_assert(stage.asked.size() == 1 && stage.asked[0].part == 3);
   cr_expect(stage.asked[0].backend->region != "far", "not the one that may have failed");
@@ -161,7 +161,7 @@
   DelegationFixture stage;
   stage.work->handle_failure(0, ErrorCode::refused_connection, false, start + 2ms);
   cr_expect(stage.asked.size() == 4, "nobody was reached");
-  stage.work->handle_failure(0, ErrorCode::broke_off, true, start + 9ms);
+  stage.work->handle_failure(0, ErrorCode::connection_lost, true, start + 9ms);
   stage.work->handle_response(1, RequestFixture::failed(503, true), Duration(9), start + 9ms);
   stage.work->handle_response(2, RequestFixture::good("s2", ""), Duration(9), start + 9ms);
   cr_expect(stage.asked.size() == 4);
@@ -247,7 +247,7 @@
         else
           whose.handle_failure(
               flight.part,
-              flight.fate == missed ? ErrorCode::refused_connection : ErrorCode::broke_off,
+              flight.fate == missed ? ErrorCode::refused_connection : ErrorCode::connection_lost,
               flight.fate != missed, now);
       }
       for (auto& [due, frame] : frames)
--- a/tests/coordination/routing/proxied_request_test.cpp
+++ b/tests/coordination/routing/proxied_request_test.cpp
@@ -15,7 +15,7 @@
 Test(request, a_harmless_one_goes_to_another_backend_after_a_breakdown) {
   RequestFixture stage(single);
   stage.request->start(start);
-  stage.request->handle_failure(0, ErrorCode::broke_off, true, start + 20ms);
+  stage.request->handle_failure(0, ErrorCode::connection_lost, true, start + 20ms);
   cr_assert(stage.asked.size() == 2);
   cr_expect(stage.asked[0].backend != stage.asked[1].backend);
   stage.take(0, RequestFixture::good("x"));
@@ -25,7 +25,7 @@
 Test(request, a_risky_one_that_may_have_run_goes_nowhere_else) {
   RequestFixture stage(risky);
   stage.request->start(start);
-  stage.request->handle_failure(0, ErrorCode::broke_off, true, start + 20ms);
+  stage.request->handle_failure(0, ErrorCode::connection_lost, true, start + 20ms);
   cr_expect(stage.asked.size() == 1 && stage.status() == 502);
 }
 
@@ -73,7 +73,7 @@
   stage.request->start(start);
   stage.request->on_due(stage.request->next_due());
   cr_expect(stage.asked.size() == 1);
-  stage.request->handle_failure(0, ErrorCode::broke_off, true, start + 120ms);
+  stage.request->handle_failure(0, ErrorCode::connection_lost, true, start + 120ms);
   cr_expect(stage.asked.size() == 1 && stage.status() == 502);
 }
 
--- a/tests/coordination/routing/request_fixture.h
+++ b/tests/coordination/routing/request_fixture.h
@@ -90,7 +90,7 @@
     request->handle_response(part, std::move(outcome), Duration(20), now);
   }
   int status() const {
-    return final.kind == ErrorCode::none ? final.status : status_of(final.kind).status;
+    return final.kind == ErrorCode::none ? final.status : status_line_of(final.kind).status;
   }
   void cancel_service(std::size_t service) {
     for (const BackendPointer& backend : table_->by_service[service])
--- a/tests/transport/http_client_connection_test.cpp
+++ b/tests/transport/http_client_connection_test.cpp
@@ -115,7 +115,7 @@
     stage.caller->ask("GET /2 HTTP/1.1\r\n\r\n", false, "2");
     stage.say("HTTP/1.1 200 OK\r\nTry-Id: " + std::string(first) + "\r\n" +
               good_answer("2", "b").substr(17));
-    cr_expect(stage.reaches([&] { return stage.failure == ErrorCode::garbled; }) &&
+    cr_expect(stage.reaches([&] { return stage.failure == ErrorCode::invalid_response; }) &&
               stage.outcomes == 1);
   }
 }
--- a/tests/transport/http_message_test.cpp
+++ b/tests/transport/http_message_test.cpp
@@ -21,19 +21,17 @@
     ErrorCode kind;
   } rows[] = {
       {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
-       ErrorCode::length_required_conflict},
+       ErrorCode::conflicting_framing},
       {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
-       ErrorCode::length_required_conflict},
-      {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: +1\r\n\r\n",
-       ErrorCode::length_required_conflict},
-      {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 1, 1\r\n\r\n",
-       ErrorCode::length_required_conflict},
+       ErrorCode::conflicting_framing},
+      {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: +1\r\n\r\n", ErrorCode::conflicting_framing},
+      {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length: 1, 1\r\n\r\n", ErrorCode::conflicting_framing},
       {"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
        ErrorCode::unsupported_coding},
       {"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: "
        "chunked\r\n\r\n",
-       ErrorCode::length_required_conflict},
-      {"GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", ErrorCode::length_required_conflict},
+       ErrorCode::conflicting_framing},
+      {"GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", ErrorCode::conflicting_framing},
       {"GET / HTTP/1.1\r\nHost: a\r\nContent-Length : 1\r\n\r\n", ErrorCode::malformed},
       {"GET / HTTP/1.1\r\nHost: a\r\n folded\r\n\r\n", ErrorCode::malformed},
       {"GET / HTTP/1.1\nHost: a\n\n", ErrorCode::malformed},
@@ -85,7 +83,7 @@
   MessageReader reader(false, 1024, 64);
   std::string buffer = "HTTP/1.1 200 OK\r\n\r\nabc";
   cr_expect(reader.advance(buffer) == Step::failed);
-  cr_expect(reader.why() == ErrorCode::garbled);
+  cr_expect(reader.why() == ErrorCode::invalid_response);
 }
 
 Test(http, an_interim_answer_is_passed_over) {
--- a/tests/transport/http_server_test.cpp
+++ b/tests/transport/http_server_test.cpp
@@ -95,7 +95,7 @@
   pair.run();
   cr_expect(pair.paths.empty());
   cr_expect(pair.caller->reader().response().getStatus() == 503 ||
-            pair.failure == ErrorCode::broke_off);
+            pair.failure == ErrorCode::connection_lost);
 }
 
 // A surplus answer in the place of the next one is told by its id, and the connection is not used
