--- a/src/broker/backend_connection.cpp
+++ b/src/broker/backend_connection.cpp
@@ -224,7 +224,7 @@
   if (!context_)
     return on_idle_end(caller);
   backend_->breaker.fail(now, kind == ErrorCode::refused_connection);
-  metrics().add(Metric::breakdowns);
+  metrics().add(Metric::failed_attempts);
   traffic_.count_edge(backend_->service, backend_->zone,
                       is_heavy_ ? EdgeClass::heavy : EdgeClass::light, elapsed(asked_, now), true);
   const bool may_have_run = caller.has_sent();
--- a/src/broker/broker_delegated_gather.cpp
+++ b/src/broker/broker_delegated_gather.cpp
@@ -172,7 +172,7 @@
 
 // Another broker's asking: backends of this region, once each.
 void BrokerLoop::handle_gather_request(DelegationRequested& in, TimePoint now) {
-  metrics().add(Metric::aids);
+  metrics().add(Metric::delegated_gathers);
   GatherRequest& aid = in.aid;
   auto context = std::make_shared<RequestContext>(*this, ExchangeId{});
   context->routing_id = std::move(in.routing_id);
--- a/src/broker/broker_loop.cpp
+++ b/src/broker/broker_loop.cpp
@@ -184,7 +184,7 @@
       by_name_[backend->service].push_back(backend);
   if (!view_->configuration)
     return;
-  metrics().set(Metric::version, view_->configuration->version.value);
+  metrics().set(Metric::configuration_version, view_->configuration->version.value);
   auto table = std::make_shared<Table>();
   table->configuration = view_->configuration;
   std::unordered_map<std::string, std::size_t> indices;
@@ -347,7 +347,7 @@
   if (answer.kind != ErrorCode::none) {
     reply = reply_of(answer.kind);
     if (reply.status >= 500)
-      metrics().add(Metric::answers_own_5xx);
+      metrics().add(Metric::own_5xx_responses);
     if (reply.status == 503)
       metrics().add(Metric::refusals);
     if (answer.retry_after > Duration(0))
@@ -430,9 +430,9 @@
 }
 
 void BrokerLoop::show_gauges() const {
-  metrics().set(Metric::visits, static_cast<std::int64_t>(server_.count()));
+  metrics().set(Metric::client_connections, static_cast<std::int64_t>(server_.count()));
   metrics().set(Metric::proxied_requests, static_cast<std::int64_t>(contexts_.size()));
-  metrics().set(Metric::ready, is_ready());
+  metrics().set(Metric::is_ready, is_ready());
 }
 
 void BrokerLoop::AlertClock::on_due(TimePoint now) {
--- a/src/control_client/subscription.cpp
+++ b/src/control_client/subscription.cpp
@@ -98,7 +98,7 @@
         news.view = view;
       edges_held_ = view->revision;
     } else {
-      metrics().add(Metric::edge_frames_dropped);
+      metrics().add(Metric::dropped_edge_frames);
     }
   }
   edges_(std::move(news));
--- a/src/coordination/routing/proxied_request.cpp
+++ b/src/coordination/routing/proxied_request.cpp
@@ -367,7 +367,7 @@
       (seals += seals.empty() ? "" : ", ") += part.seal;
   FinalAnswer answer;
   if (done_ < parts_.size())
-    metrics().add(Metric::answers_partial);
+    metrics().add(Metric::partial_responses);
   answer.fields = "Part-Seals: " + seals +
                   "\r\nParts-Missing: " + std::to_string(parts_.size() - done_) + "\r\n";
   answer.body = best_.take();
--- a/src/pooler/pooler_loop.cpp
+++ b/src/pooler/pooler_loop.cpp
@@ -76,7 +76,7 @@
                auto link = std::make_unique<Link>(*this, connection);
                if (!link->transport.connect(connection.backend().address))
                  return nullptr;
-               metrics().add(Metric::connections_opened);
+               metrics().add(Metric::database_connections_opened);
                return link;
              },
              [this](Backend& backend, const LogPosition& position, TimePoint asked) {
@@ -94,7 +94,7 @@
                if (is_fine)
                  backend.breaker.succeed();
                else
-                 backend.breaker.fail(now, true), metrics().add(Metric::breakdowns);
+                 backend.breaker.fail(now, true), metrics().add(Metric::failed_attempts);
                has_news_ = true;
              },
              [] { return Clock::now(); },
@@ -204,7 +204,7 @@
   for (const auto& [id, backend] : backends_)
     by_service_[backend->service].push_back(backend);
   if (view_->configuration)
-    metrics().set(Metric::version, view_->configuration->version.value);
+    metrics().set(Metric::configuration_version, view_->configuration->version.value);
   if (is_first && view_->configuration)
     LOG(INFO) << "pooling: edition " << view_->configuration->version.value << " is the first";
   wake_waiting(now);
@@ -281,10 +281,11 @@
   }
   evidence.samples = own_samples_.tell(now, oldest_told);
   evidence.built = now;
-  metrics().set(Metric::visits, static_cast<std::int64_t>(clients_.size()));
-  metrics().set(Metric::connections, static_cast<std::int64_t>(pool_.count()));
-  metrics().set(Metric::waiting, static_cast<std::int64_t>(waiting_.size() + pool_.waiting()));
-  metrics().set(Metric::ready, is_ready());
+  metrics().set(Metric::client_connections, static_cast<std::int64_t>(clients_.size()));
+  metrics().set(Metric::database_connections, static_cast<std::int64_t>(pool_.count()));
+  metrics().set(Metric::waiting_sessions,
+                static_cast<std::int64_t>(waiting_.size() + pool_.waiting()));
+  metrics().set(Metric::is_ready, is_ready());
   control_client_->report(std::move(evidence));
 }
 
--- a/src/registry/control_discovery.cpp
+++ b/src/registry/control_discovery.cpp
@@ -63,9 +63,9 @@
   for (const auto& [id, line] : registry_.lines())
     up += line.entry.status == Status::up;
   metrics().set(Metric::backends_up, up);
-  metrics().set(Metric::brokers, static_cast<std::int64_t>(brokers_.size()));
+  metrics().set(Metric::known_brokers, static_cast<std::int64_t>(brokers_.size()));
   metrics().set(Metric::evictions, static_cast<std::int64_t>(registry_.evicted()));
-  metrics().set(Metric::leaderships, raft_.is_leader());
+  metrics().set(Metric::is_leader, raft_.is_leader());
   const bool has_turned = should_observe != is_observing_;
   is_observing_ = should_observe;
   if (is_observing_) {
--- a/src/registry/control_edges.cpp
+++ b/src/registry/control_edges.cpp
@@ -23,7 +23,7 @@
     return;
   const auto [position, is_new] = edge_counts_.try_emplace(follow.region, max_cells_here);
   if (!position->second.merge(follow.edge_counts))
-    metrics().add(Metric::edge_frames_dropped);
+    metrics().add(Metric::dropped_edge_frames);
 }
 
 // A peer's, kept for the case that this one leads next.
@@ -31,13 +31,13 @@
                                    TimePoint now) {
   fence_.admits(led_in(), false);
   if (!fence_.admits(frame.term, from.from == raft_.leader_address()) || raft_.is_leader())
-    return metrics().add(Metric::edge_frames_dropped);
+    return metrics().add(Metric::dropped_edge_frames);
   edge_aggregator_.take_ways(frame.ways);
   if (frame.view.empty())
     return;
   auto view = std::make_shared<EdgeView>();
   if (!decode_view(frame.view, *view) || view->revision < edge_aggregator_.view()->revision)
-    return metrics().add(Metric::edge_frames_dropped);
+    return metrics().add(Metric::dropped_edge_frames);
   if (!edge_aggregator_.take(std::move(view), now))
     return;
   edges_text_ = frame.view;
@@ -47,10 +47,10 @@
 // Counts told to a leader of another term are not counted in this one.
 void ControlLoop::handle_edge_sums(const EdgeSums& sums, TimePoint now) {
   if (!raft_.is_leader() || sums.term != raft_.term())
-    return metrics().add(Metric::edge_frames_dropped);
+    return metrics().add(Metric::dropped_edge_frames);
   for (const auto& [region, counts] : sums.regions)
     if (!edge_aggregator_.add(region, counts, now))
-      metrics().add(Metric::edge_frames_dropped);
+      metrics().add(Metric::dropped_edge_frames);
 }
 
 void ControlLoop::update_edges(TimePoint now) {
@@ -115,7 +115,7 @@
       if (!view->find(was.service, was.zone, was.region))
         LOG(WARNING) << "edges: " << was.region << " to " << was.service << " in " << was.zone
                      << ": allowed again";
-    metrics().set(Metric::edges_avoided, avoided);
+    metrics().set(Metric::avoided_edges, avoided);
     for (auto& [from, broker] : brokers_)
       send_heartbeat(broker, false, now);
   }
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "state/metrics.h"
 #include "state/compression.h"
+#include "state/metrics.h"
 
 namespace saddlewing {
 namespace {
@@ -364,7 +364,7 @@
     return;
   steps_.note(noted_->version, "committed", now);
   rollout_.commit(noted_->version, now);
-  metrics().set(Metric::version, noted_->version.value);
+  metrics().set(Metric::configuration_version, noted_->version.value);
   LOG(INFO) << "agree: edition " << noted_->version.value << " committed";
   ConfigurationSnapshot snapshot;
   if (Error found = read_configuration(noted_->body, snapshot)) {
--- a/src/registry/control_ring.cpp
+++ b/src/registry/control_ring.cpp
@@ -337,7 +337,7 @@
   }
   if (output.proposal)
     raft_.propose_document(ring_document, encode_ring(*output.proposal), ring_token, now);
-  metrics().set(Metric::ring_moves,
+  metrics().set(Metric::open_migrations,
                 std::count_if(shard_migration_.moves().begin(), shard_migration_.moves().end(),
                               [](const RingMove& move) { return move.is_open(); }));
   if (now - ring_watched_ < watch_every)
@@ -349,7 +349,7 @@
   for (const NodeReport& node : report.nodes)
     if (node.is_over)
       over += (over.empty() ? "" : ", ") + node.name;
-  metrics().set(Metric::ring_over,
+  metrics().set(Metric::overloaded_ring_nodes,
                 std::count_if(report.nodes.begin(), report.nodes.end(),
                               [](const NodeReport& node) { return node.is_over; }));
   if (over.empty() == is_ring_over_)
--- a/src/registry/operator_api.cpp
+++ b/src/registry/operator_api.cpp
@@ -99,7 +99,7 @@
         {200, "OK", "Content-Type: text/plain; version=0.0.4\r\n", metrics().page()}, now);
   if (target.starts_with(row_of(Call::heartbeat).path))
     return handle_backend_call(exchange, now);
-  metrics().add(Metric::calls_taken);
+  metrics().add(Metric::operator_calls);
   if (target.substr(0, target.find('?')) != row_of(Call::put_settings).path)
     return exchange.answer(json_reply(ErrorCode::no_route, "only /settings is served here"), now);
   if (request.getMethod() == row_of(Call::get_settings).method)
@@ -159,7 +159,7 @@
     return;
   const ExchangeId id = found->second.exchange;
   if (reply.status == 503)
-    metrics().add(Metric::calls_failed);
+    metrics().add(Metric::failed_operator_calls);
   if (found->second.is_read || reply.status != 200)
     LOG(INFO) << "steering: " << (found->second.is_read ? "read" : "change") << " answered "
               << reply.status << ", " << reply.body.size() << " bytes";
--- a/src/registry/storage_thread.h
+++ b/src/registry/storage_thread.h
@@ -7,8 +7,8 @@
 #include <thread>
 
 #include "registry/events.h"
-#include "state/metrics.h"
 #include "state/durable_store.h"
+#include "state/metrics.h"
 
 namespace saddlewing {
 
@@ -40,7 +40,7 @@
       for (const RaftNode::Save& save : saves_.take()) {
         const Error found = store_.save(save.persistent);
         if (found)
-          metrics().add(Metric::saves_failed);
+          metrics().add(Metric::failed_saves);
         if (found)
           LOG(ERROR) << "disk: save failed: " << found.text();
         // Without this word nothing is saved any more, so it waits for room.
--- a/tests/broker/exchange_test.cpp
+++ b/tests/broker/exchange_test.cpp
@@ -262,10 +262,10 @@
       stage.add(
           clients[number],
           case_of("z" + std::to_string(round * 8 + static_cast<int>(number)), is_once).request);
-    const auto breakdowns = metrics().get(Metric::breakdowns);
+    const auto breakdowns = metrics().get(Metric::failed_attempts);
     stage.resume();
     stage.play(clients);
-    check_round(round, metrics().get(Metric::breakdowns) - breakdowns);
+    check_round(round, metrics().get(Metric::failed_attempts) - breakdowns);
     for (Exchange& client : clients) {
       cr_expect(client.statuses.back() == 200, "round %d: %d", round, client.statuses.back());
       ::close(client.socket);
