--- a/src/state/error.cpp
+++ b/src/state/error.cpp
@@ -1,16 +1,18 @@
 #include "state/error.h"
 
+#include <cstddef>
+
 namespace saddlewing {
 namespace {
 
-struct Row {
-  ErrorCode kind;
-  const char* text;
+struct ErrorCodeRow {
+  ErrorCode code;
+  const char* message;
   int status;
   const char* reason;
 };
 
-constexpr Row rows[] = {
+constexpr ErrorCodeRow rows[] = {
     {ErrorCode::none, "no error", 200, "OK"},
     {ErrorCode::malformed, "malformed message", 400, "Bad Request"},
     {ErrorCode::conflicting_framing, "conflicting framing", 400, "Bad Request"},
@@ -41,11 +43,14 @@
     {ErrorCode::closed, "connection closed", 502, "Bad Gateway"},
 };
 
-const Row& row_of(ErrorCode kind) {
-  for (const Row& row : rows)
-    if (row.kind == kind)
+/** A number that no row has came from a later version; it is taken for a malformed message. */
+const ErrorCodeRow& row_of(ErrorCode code) {
+  constexpr std::size_t malformed_row = 1;
+  static_assert(rows[malformed_row].code == ErrorCode::malformed);
+  for (const ErrorCodeRow& row : rows)
+    if (row.code == code)
       return row;
-  return rows[1];
+  return rows[malformed_row];
 }
 
 class Category final : public std::error_category {
@@ -54,7 +59,7 @@
     return "saddlewing";
   }
   std::string message(int value) const override {
-    return row_of(static_cast<ErrorCode>(value)).text;
+    return row_of(static_cast<ErrorCode>(value)).message;
   }
 };
 
@@ -65,8 +70,8 @@
   return instance;
 }
 
-StatusLine status_line_of(ErrorCode kind) {
-  const Row& row = row_of(kind);
+StatusLine status_line_of(ErrorCode code) {
+  const ErrorCodeRow& row = row_of(code);
   return {row.status, row.reason};
 }
 
--- a/src/state/legacy_store.cpp
+++ b/src/state/legacy_store.cpp
@@ -3,6 +3,7 @@
 #include <unistd.h>
 
 #include <cerrno>
+#include <cstdint>
 #include <cstring>
 #include <string_view>
 #include <tuple>
