--- a/src/main.cpp
+++ b/src/main.cpp
@@ -15,6 +15,15 @@
   return 2;
 }
 
+// Empty: neither an option nor the environment names the file.
+std::string settings_path(const cxxopts::ParseResult& read) {
+  for (const char* option : {"settings", "startup"})
+    if (read.count(option))
+      return read[option].as<std::string>();
+  const char* path = std::getenv("SADDLEWING_NODE_FILE");
+  return path ? path : "";
+}
+
 bool read_contacts(const cxxopts::ParseResult& read, std::vector<std::string>& contacts, int& wait,
                    std::string& complaint) {
   if (!read.count("contact"))
@@ -104,8 +113,9 @@
       "  check FILE      check a startup, a configuration or a ring file\n");
   options.positional_help("COMMAND [FILE | VERSION]");
   options.add_options()("h,help", "print this help")("version", "print the version")(
-      "startup", "startup file (else SADDLEWING_NODE_FILE names it)",
-      cxxopts::value<std::string>())(
+      "settings", "settings file (else SADDLEWING_NODE_FILE names it)",
+      cxxopts::value<std::string>())("startup", "deprecated name of --settings",
+                                     cxxopts::value<std::string>())(
       "contact", "tracer, ring, edges, core: inner address of a node; may be given more than once",
       cxxopts::value<std::vector<std::string>>())("json", "tracer, ring, edges, core: print JSON")(
       "wait-ms", "tracer, ring, edges, core: how long to wait for answers",
@@ -151,12 +161,9 @@
     return usage(options, "unknown command " + command);
   if (!files.empty())
     return usage(options, command + " takes no file");
-  const char* told = std::getenv("SADDLEWING_NODE_FILE");
-  const std::string path = read.count("startup") ? read["startup"].as<std::string>()
-                           : told                ? told
-                                                 : "";
+  const std::string path = settings_path(read);
   if (path.empty())
-    return usage(options, "no startup file: give --startup or set SADDLEWING_NODE_FILE");
+    return usage(options, "no settings file: give --settings or set SADDLEWING_NODE_FILE");
   FLAGS_logtostderr = true;
   google::InitGoogleLogging(words[0]);
   if (command == "pooler")
