--- a/src/state/setting_fields.cpp
+++ b/src/state/setting_fields.cpp
@@ -1,6 +1,5 @@
 #include "state/setting_fields.h"
 
-#include <array>
 #include <sstream>
 
 namespace saddlewing {
@@ -56,7 +55,7 @@
     number("provider_api.rate_per_s", &Settings::platform_rate, min_rate, max_rate,
            "calls a second that the platform allows for listing backends"),
     value("first_contacts", &Settings::contacts, RequiredBy::everybody,
-          "control addresses of some registries"),
+          "control addresses of some registries; their inner port is the same everywhere"),
     value("zones", &Settings::zones, RequiredBy::nobody, "region of each zone"),
     value("spare_ports", &Settings::inner_port, RequiredBy::everybody,
           "first and last: the first carries a registry's frames, the second a broker's or "
@@ -79,7 +78,8 @@
                  "a backend that is gone receives no more requests after this"),
     seconds("time_bounds.grace_s", &Settings::grace, "time to end after SIGTERM"),
     seconds("time_bounds.catch_up_s", &Settings::catch_up,
-            "a member of the core counts as lost for so long after it is back",
+            "a member of the core counts as lost for so long after it is back; a silent one is "
+            "replaced after a quarter of it (at least one and a half `election_ms`, at most 3 s)",
             RequiredBy::registry),
     milliseconds("time_bounds.take_effect_ms", &Settings::take_effect,
                  "a new configuration is in force everywhere after this"),
@@ -120,7 +120,8 @@
     milliseconds("options.lead_hold_ms", &Settings::leadership_lease,
                  "see [operating-pooler](operating-pooler.md); at least three `follow_ms`"),
     number("options.heavy_times", &Settings::heavy_times, 0, 1000,
-           "work of a heavy route as a multiple of the lightest one's at the same service; 0: off, "
+           "a route with so many times the work of the lightest at the same service is heavy and "
+           "leaves a slot to short ones; 0: off, "
            "else at least 1.5; see [design/heavy.md](design/heavy.md)"),
     value("options.edges", &Settings::has_edges, RequiredBy::nobody,
           "whether brokers share their latencies; see [operating-edges](operating-edges.md)"),
@@ -215,11 +216,20 @@
   }
 };
 
-void render(const SettingField& field, std::ostream& out) {
-  out << "| `" << field.path << "` | " << text_of(field.required_by) << " | ";
+/** The default as the page shows it; a field that must be given shows its unit alone. */
+std::string default_of(const SettingField& field) {
+  std::ostringstream text;
   if (field.form == SettingForm::plain && field.required_by == RequiredBy::nobody)
-    std::visit(DefaultWriter{field, out}, field.member);
-  out << (field.unit.empty() ? "" : " ") << field.unit << " | " << field.description << " |\n";
+    std::visit(DefaultWriter{field, text}, field.member);
+  if (field.unit.empty())
+    return text.str();
+  return text.str().empty() ? "(" + std::string(field.unit) + ")"
+                            : text.str() + " " + std::string(field.unit);
+}
+
+void render(const SettingField& field, std::ostream& out) {
+  out << "| `" << field.path << "` | " << text_of(field.required_by) << " | " << default_of(field)
+      << " | " << field.description << " |\n";
 }
 
 }  // namespace
--- a/tests/state/node_settings_test.cpp
+++ b/tests/state/node_settings_test.cpp
@@ -3,6 +3,11 @@
 
 #include <criterion/criterion.h>
 
+#include <fstream>
+#include <sstream>
+
+#include "state/setting_fields.h"
+
 using namespace saddlewing;
 
 Test(settings, what_is_wrong_is_named) {
@@ -59,3 +64,13 @@
   cr_expect(parse_node_settings("{", false, settings).code == ErrorCode::unreadable);
   cr_expect(read_node_settings("/nowhere", false, settings).code == ErrorCode::unreadable);
 }
+
+Test(settings, the_operators_page_shows_every_field) {
+  std::ifstream file(std::string(SADDLEWING_FIXTURES) + "/../../docs/operating.md");
+  cr_assert(file.is_open());
+  std::ostringstream page;
+  page << file.rdbuf();
+  const std::string table = render_setting_fields();
+  cr_expect(page.str().find("\n\n" + table + "\n") != std::string::npos,
+            "docs/operating.md lacks this table:\n%s", table.c_str());
+}
