--- a/src/broker/broker_status.cpp
+++ b/src/broker/broker_status.cpp
@@ -27,9 +27,9 @@
 }
 
 void BrokerLoop::show_gauges() const {
-  metrics().set(Metric::visits, static_cast<std::int64_t>(server_.count()));
+  metrics().set(Metric::client_connections, static_cast<std::int64_t>(server_.count()));
   metrics().set(Metric::proxied_requests, static_cast<std::int64_t>(contexts_.size()));
-  metrics().set(Metric::ready, is_ready());
+  metrics().set(Metric::is_ready, is_ready());
 }
 
 void BrokerLoop::AlertClock::on_due(TimePoint now) {
--- a/src/coordination/placement/shard_migration.cpp
+++ b/src/coordination/placement/shard_migration.cpp
@@ -86,9 +86,9 @@
 // What the taker has and what other open moves will bring it must leave room.
 std::string ShardMigration::find_room(const RingUnit& unit, std::size_t taker, const RingMap& ring,
                                       std::uint64_t but) const {
-  const auto used = ring.used_of(taker);
-  double memory = used.first;
-  double disk = used.second;
+  const RingSize used = ring.used_of(taker);
+  double memory = used.memory_mb;
+  double disk = used.disk_mb;
   const auto add = [&](const RingMove& move) {
     if (!move.is_open() || move.to != ring.nodes[taker].name || (move.id && move.id == but) ||
         ring.owner_of(move.unit) == taker)
--- a/src/pooler/pooler_leadership.cpp
+++ b/src/pooler/pooler_leadership.cpp
@@ -52,7 +52,7 @@
   for (const auto& [id, backend] : backends_)
     by_service_[backend->service].push_back(backend);
   if (view_->configuration)
-    metrics().set(Metric::version, view_->configuration->version.value);
+    metrics().set(Metric::configuration_version, view_->configuration->version.value);
   if (is_first && view_->configuration)
     LOG(INFO) << "pooling: edition " << view_->configuration->version.value << " is the first";
   wake_waiting(now);
@@ -129,10 +129,10 @@
   }
   evidence.samples = own_samples_.tell(now, max_sample_age);
   evidence.built = now;
-  metrics().set(Metric::visits, static_cast<std::int64_t>(clients_.size()));
-  metrics().set(Metric::connections, static_cast<std::int64_t>(pool_.count()));
-  metrics().set(Metric::waiting, static_cast<std::int64_t>(waiting_.size() + pool_.waiting()));
-  metrics().set(Metric::ready, is_ready());
+  metrics().set(Metric::client_connections, static_cast<std::int64_t>(clients_.size()));
+  metrics().set(Metric::database_connections, static_cast<std::int64_t>(pool_.count()));
+  metrics().set(Metric::waiting_sessions, static_cast<std::int64_t>(waiting_.size() + pool_.waiting()));
+  metrics().set(Metric::is_ready, is_ready());
   control_client_->report(std::move(evidence));
 }
 
--- a/src/pooler/pooler_loop.cpp
+++ b/src/pooler/pooler_loop.cpp
@@ -67,7 +67,7 @@
                auto link = std::make_unique<Link>(*this, connection);
                if (!link->transport.connect(connection.backend().address))
                  return nullptr;
-               metrics().add(Metric::connections_opened);
+               metrics().add(Metric::database_connections_opened);
                return link;
              },
              [this](Backend& backend, const LogPosition& position, TimePoint asked) {
@@ -85,7 +85,7 @@
                if (is_fine)
                  backend.breaker.succeed();
                else
-                 backend.breaker.fail(now, true), metrics().add(Metric::breakdowns);
+                 backend.breaker.fail(now, true), metrics().add(Metric::failed_attempts);
                has_news_ = true;
              },
              [] { return Clock::now(); },
--- a/src/state/error.cpp
+++ b/src/state/error.cpp
@@ -1,19 +1,21 @@
 #include "state/error.h"
 
+#include <cstddef>
+
 namespace saddlewing {
 namespace {
 
-struct Row {
-  ErrorCode kind;
-  const char* text;
+struct ErrorCodeRow {
+  ErrorCode code;
+  const char* message;
   int status;
   const char* reason;
 };
 
-constexpr Row rows[] = {
+constexpr ErrorCodeRow rows[] = {
     {ErrorCode::none, "no error", 200, "OK"},
     {ErrorCode::malformed, "malformed message", 400, "Bad Request"},
-    {ErrorCode::length_required_conflict, "conflicting framing", 400, "Bad Request"},
+    {ErrorCode::conflicting_framing, "conflicting framing", 400, "Bad Request"},
     {ErrorCode::unsupported_coding, "transfer coding not supported", 501, "Not Implemented"},
     {ErrorCode::head_too_large, "head too large", 431, "Request Header Fields Too Large"},
     {ErrorCode::body_too_large, "body too large", 413, "Payload Too Large"},
@@ -24,14 +26,14 @@
     {ErrorCode::expectation, "expectation not met", 417, "Expectation Failed"},
     {ErrorCode::not_ready, "not ready", 503, "Service Unavailable"},
     {ErrorCode::overloaded, "overloaded", 503, "Service Unavailable"},
-    {ErrorCode::nobody_up, "no backend is up", 503, "Service Unavailable"},
+    {ErrorCode::no_backend_up, "no backend is up", 503, "Service Unavailable"},
     {ErrorCode::no_leader, "no leader reached", 503, "Service Unavailable"},
     {ErrorCode::draining, "leaving", 503, "Service Unavailable"},
-    {ErrorCode::turned_away, "turned away by the backends", 503, "Service Unavailable"},
+    {ErrorCode::refused_by_backends, "turned away by the backends", 503, "Service Unavailable"},
     {ErrorCode::refused_connection, "connection refused", 503, "Service Unavailable"},
-    {ErrorCode::silent, "backend silent", 504, "Gateway Timeout"},
-    {ErrorCode::broke_off, "backend broke off", 502, "Bad Gateway"},
-    {ErrorCode::garbled, "backend sent no proper answer", 502, "Bad Gateway"},
+    {ErrorCode::no_response, "backend silent", 504, "Gateway Timeout"},
+    {ErrorCode::connection_lost, "backend broke off", 502, "Bad Gateway"},
+    {ErrorCode::invalid_response, "backend sent no proper answer", 502, "Bad Gateway"},
     {ErrorCode::deadline_reached, "cutoff reached", 504, "Gateway Timeout"},
     {ErrorCode::invalid, "invalid", 400, "Bad Request"},
     {ErrorCode::unreadable, "cannot be read", 400, "Bad Request"},
@@ -41,11 +43,14 @@
     {ErrorCode::closed, "connection closed", 502, "Bad Gateway"},
 };
 
-const Row& row_of(ErrorCode kind) {
-  for (const Row& row : rows)
-    if (row.kind == kind)
+/** A number that no row has came from a later version; it is taken for a malformed message. */
+const ErrorCodeRow& row_of(ErrorCode code) {
+  constexpr std::size_t malformed_row = 1;
+  static_assert(rows[malformed_row].code == ErrorCode::malformed);
+  for (const ErrorCodeRow& row : rows)
+    if (row.code == code)
       return row;
-  return rows[1];
+  return rows[malformed_row];
 }
 
 class Category final : public std::error_category {
@@ -54,7 +59,7 @@
     return "saddlewing";
   }
   std::string message(int value) const override {
-    return row_of(static_cast<ErrorCode>(value)).text;
+    return row_of(static_cast<ErrorCode>(value)).message;
   }
 };
 
@@ -65,8 +70,8 @@
   return instance;
 }
 
-StatusLine status_of(ErrorCode kind) {
-  const Row& row = row_of(kind);
+StatusLine status_line_of(ErrorCode code) {
+  const ErrorCodeRow& row = row_of(code);
   return {row.status, row.reason};
 }
 
