--- a/src/coordination/raft/entry_delta.cpp
+++ b/src/coordination/raft/entry_delta.cpp
@@ -11,8 +11,12 @@
 namespace saddlewing {
 namespace {
 
+// Shorter deltas are not worth compressing, in bytes.
 constexpr std::size_t min_packed_bytes = 512;
-constexpr char is_plain = 0, is_packed = 1;  // the first byte on the way
+
+// First byte of a delta on the wire: how the rest is stored.
+constexpr char plain_format = 0;
+constexpr char packed_format = 1;
 
 std::uint64_t digest_of(const std::string& body, const std::string& documents) {
   const std::uint64_t digest = XXH3_64bits(body.data(), body.size());
@@ -101,7 +105,7 @@
   std::string packed = middle.size() >= min_packed_bytes ? pack(middle) : std::string();
   const bool should_pack = !packed.empty() && packed.size() < middle.size();
   delta->bytes =
-      std::string(1, should_pack ? is_packed : is_plain) + (should_pack ? packed : middle);
+      std::string(1, should_pack ? packed_format : plain_format) + (should_pack ? packed : middle);
   header.total = delta->bytes.size();
   return delta;
 }
@@ -131,14 +135,19 @@
   return bytes_.size() < header_.total ? Result::incomplete : finish(last_entry, entry);
 }
 
+ChunkAssembler::Result ChunkAssembler::count_mismatch() {
+  ++digest_mismatches_;
+  return Result::unusable;
+}
+
 ChunkAssembler::Result ChunkAssembler::finish(const EntrySnapshot& last_entry,
                                               EntrySnapshot& entry) {
   const std::string received = std::exchange(bytes_, {});
   const EntryChunk header = std::exchange(header_, {});
   std::string middle;
-  if (received[0] == is_packed) {
+  if (received[0] == packed_format) {
     if (!unpack(received.substr(1), max_entry_bytes, middle))
-      return ++digest_mismatches_, Result::unusable;
+      return count_mismatch();
   } else {
     middle = received.substr(1);
   }
@@ -155,7 +164,7 @@
       restore(header.documents, has_base ? base->documents : std::string(), rest, documents);
   if (!is_restored || digest_of(read->body, documents) != header.digest ||
       !read_documents(documents, *read))
-    return ++digest_mismatches_, Result::unusable;
+    return count_mismatch();
   read->term = header.term;
   read->index = header.index;
   read->version = header.version;
--- a/src/coordination/raft/entry_delta.h
+++ b/src/coordination/raft/entry_delta.h
@@ -69,6 +69,7 @@
   }
 
  private:
+  Result count_mismatch();
   Result finish(const EntrySnapshot& last_entry, EntrySnapshot& entry);
 
   // Invariant: bytes_ are the first bytes of the delta of header_, with no gap.
--- a/src/protocol/raft_messages.cpp
+++ b/src/protocol/raft_messages.cpp
@@ -1,7 +1,62 @@
-// Messages of the agreement as they travel.
 #include "protocol/raft_messages.h"
 
+#include <iterator>
+
 namespace saddlewing {
+namespace {
+
+void write_kept(Writer& writer, const EntryChunk::Kept& kept) {
+  writer.number(kept.prefix).number(kept.suffix).number(kept.changed);
+}
+
+void read_kept(ByteReader& reader, EntryChunk::Kept& kept) {
+  kept.prefix = reader.number();
+  kept.suffix = reader.number();
+  kept.changed = reader.number();
+}
+
+void write_chunk(Writer& writer, const EntryChunk& chunk) {
+  writer.number(chunk.term.value)
+      .number(chunk.index.value)
+      .number(chunk.version.value)
+      .number(chunk.core_size);
+  write_members(writer, chunk.members);
+  write_members(writer, chunk.outgoing);
+  writer.number(chunk.base_term.value).number(chunk.base_index.value);
+  write_kept(writer, chunk.body);
+  write_kept(writer, chunk.documents);
+  writer.number(chunk.digest).number(chunk.total).number(chunk.offset).text(chunk.bytes);
+}
+
+void read_chunk(ByteReader& reader, EntryChunk& chunk) {
+  chunk.term.value = reader.number();
+  chunk.index.value = reader.number();
+  chunk.version.value = static_cast<std::int64_t>(reader.number());
+  chunk.core_size = static_cast<std::uint32_t>(reader.number());
+  read_members(reader, chunk.members);
+  read_members(reader, chunk.outgoing);
+  chunk.base_term.value = reader.number();
+  chunk.base_index.value = reader.number();
+  read_kept(reader, chunk.body);
+  read_kept(reader, chunk.documents);
+  chunk.digest = reader.number();
+  chunk.total = reader.number();
+  chunk.offset = reader.number();
+  chunk.bytes = reader.text();
+}
+
+}  // namespace
+
+const char* name_of(RaftMessage::Type type) {
+  static constexpr const char* names[] = {"pre_vote",       "pre_vote_reply",
+                                          "request_vote",   "request_vote_reply",
+                                          "append_entries", "append_entries_reply",
+                                          "timeout_now",    "join",
+                                          "join_reply",     "leave",
+                                          "leave_reply"};
+  const auto position = static_cast<std::size_t>(type);
+  return position < std::size(names) ? names[position] : "unknown";
+}
 
 std::string encode(const FrameHead& head, const RaftMessage& value) {
   Writer writer = open_frame(head, FrameKind::raft);
@@ -23,19 +78,8 @@
       .number(value.chunk_end_offset)
       .number(value.wants_full_entry)
       .number(value.chunk.has_value());
-  if (!value.chunk)
-    return writer.take();
-  const EntryChunk& chunk = *value.chunk;
-  writer.number(chunk.term.value)
-      .number(chunk.index.value)
-      .number(chunk.version.value)
-      .number(chunk.core_size);
-  write_members(writer, chunk.members);
-  write_members(writer, chunk.outgoing);
-  writer.number(chunk.base_term.value).number(chunk.base_index.value);
-  for (const EntryChunk::Kept& kept : {chunk.body, chunk.documents})
-    writer.number(kept.prefix).number(kept.suffix).number(kept.changed);
-  writer.number(chunk.digest).number(chunk.total).number(chunk.offset).text(chunk.bytes);
+  if (value.chunk)
+    write_chunk(writer, *value.chunk);
   return writer.take();
 }
 
@@ -60,23 +104,9 @@
   value.chunk_entry_index.value = reader.number();
   value.chunk_end_offset = reader.number();
   value.wants_full_entry = reader.number();
-  if (!reader.number())
-    return reader.is_complete();
-  EntryChunk& chunk = value.chunk.emplace();
-  chunk.term.value = reader.number();
-  chunk.index.value = reader.number();
-  chunk.version.value = static_cast<std::int64_t>(reader.number());
-  chunk.core_size = static_cast<std::uint32_t>(reader.number());
-  read_members(reader, chunk.members);
-  read_members(reader, chunk.outgoing);
-  chunk.base_term.value = reader.number();
-  chunk.base_index.value = reader.number();
-  for (EntryChunk::Kept* kept : {&chunk.body, &chunk.documents})
-    kept->prefix = reader.number(), kept->suffix = reader.number(), kept->changed = reader.number();
-  chunk.digest = reader.number();
-  chunk.total = reader.number();
-  chunk.offset = reader.number();
-  chunk.bytes = reader.text();
+  const bool has_chunk = reader.number();
+  if (has_chunk)
+    read_chunk(reader, value.chunk.emplace());
   return reader.is_complete();
 }
 
--- a/src/protocol/raft_messages.h
+++ b/src/protocol/raft_messages.h
@@ -101,6 +101,9 @@
   std::string leader_address;
 };
 
+// Name of a message type for logs and traces, as it is spelled in code; "unknown" for others.
+const char* name_of(RaftMessage::Type type);
+
 // The frame of a message.
 std::string encode(const FrameHead& head, const RaftMessage& value);
 // Reads what follows the head. False: foreign or damaged; `value` is then unspecified.
--- a/tools/model_nodes.cpp
+++ b/tools/model_nodes.cpp
@@ -14,14 +14,6 @@
 constexpr int reserve = 100;
 constexpr Micros max_wait = 100'000, min_wait = 200;
 
-const char* name_of(RaftMessage::Type type) {
-  static constexpr const char* names[] = {"pre-vote", "pre-voted", "vote",     "voted",
-                                          "append",   "appended",  "transfer", "join",
-                                          "joined",   "leave",     "left"};
-  const auto position = static_cast<std::size_t>(type);
-  return position < std::size(names) ? names[position] : "?";
-}
-
 std::string show(Term term, Index index) {
   return std::to_string(term.value) + "." + std::to_string(index.value);
 }
