--- a/src/coordination/raft/pending_calls.cpp
+++ b/src/coordination/raft/pending_calls.cpp
@@ -8,18 +8,18 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::size_t max_orders = 256;
+constexpr std::size_t max_accepted = 256;
 
-using Orders = std::map<std::int64_t, std::uint64_t>;
+using AcceptedDigests = std::map<std::int64_t, std::uint64_t>;
 
-Orders read_orders(const std::string& document) {
-  Orders orders;
+AcceptedDigests read_accepted(const std::string& document) {
+  AcceptedDigests accepted;
   ByteReader reader(document);
   while (reader.is_good() && !reader.is_complete()) {
     const auto version = static_cast<std::int64_t>(reader.number());
-    orders[version] = reader.number();
+    accepted[version] = reader.number();
   }
-  return reader.is_complete() ? orders : Orders{};
+  return reader.is_complete() ? accepted : AcceptedDigests{};
 }
 
 }  // namespace
@@ -28,43 +28,46 @@
   return XXH3_64bits(body.data(), body.size());
 }
 
-std::string record_order(const std::string& document, Version version, std::uint64_t digest) {
-  Orders orders = read_orders(document);
-  orders.try_emplace(version.value, digest);
+std::string record_accepted(const std::string& document, Version version, std::uint64_t digest) {
+  AcceptedDigests accepted = read_accepted(document);
+  accepted.try_emplace(version.value, digest);
   // Dropped many at a time: in between a change of the sheet is what it gains at its end.
-  if (orders.size() > max_orders + max_orders / 4)
-    while (orders.size() > max_orders)
-      orders.erase(orders.begin());
+  if (accepted.size() > max_accepted + max_accepted / 4)
+    while (accepted.size() > max_accepted)
+      accepted.erase(accepted.begin());
   Writer writer;
-  for (const auto& [number, held] : orders)
-    writer.number(static_cast<std::uint64_t>(number)).number(held);
+  for (const auto& [number, known] : accepted)
+    writer.number(static_cast<std::uint64_t>(number)).number(known);
   return writer.take();
 }
 
-Taken find_order(const std::string& document, Version version, std::uint64_t digest) {
-  const Orders orders = read_orders(document);
-  if (orders.empty() || version.value < orders.begin()->first)
-    return Taken::unknown;
-  const auto found = orders.find(version.value);
-  return found != orders.end() && found->second == digest ? Taken::yes : Taken::no;
+Acceptance find_accepted(const std::string& document, Version version, std::uint64_t digest) {
+  const AcceptedDigests accepted = read_accepted(document);
+  if (accepted.empty() || version.value < accepted.begin()->first)
+    return Acceptance::unknown;
+  const auto found = accepted.find(version.value);
+  return found != accepted.end() && found->second == digest ? Acceptance::accepted
+                                                            : Acceptance::rejected;
 }
 
-std::string acknowledge(const Entry& committed, Version version, std::uint64_t digest) {
+std::string make_acknowledgement(const Entry& committed, Version version, std::uint64_t digest) {
   const std::uint64_t held = digest_of(committed.body);
-  Taken taken = Taken::unknown;
-  if (const auto document = committed.documents.find(orders_document);
+  Acceptance taken = Acceptance::unknown;
+  if (const auto document = committed.documents.find(accepted_document);
       document != committed.documents.end())
-    taken = find_order(document->second, version, digest);
+    taken = find_accepted(document->second, version, digest);
   if (version == committed.version)
-    taken = digest == held ? Taken::yes : Taken::no;  // also if taken before there was such a sheet
+    taken = digest == held ? Acceptance::accepted
+                           : Acceptance::rejected;  // also if taken before there was such a sheet
   char hex[17];
   std::snprintf(hex, sizeof hex, "%016llx", static_cast<unsigned long long>(held));
   Json::Value value(Json::objectValue);
   value["version"] = Json::Int64(committed.version.value);
   value["digest"] = hex;
-  value["changed"] = version == committed.version && taken == Taken::yes;
+  value["changed"] = version == committed.version && taken == Acceptance::accepted;
   value["superseded"] = version < committed.version;
-  value["taken"] = taken == Taken::unknown ? Json::Value() : Json::Value(taken == Taken::yes);
+  value["taken"] =
+      taken == Acceptance::unknown ? Json::Value() : Json::Value(taken == Acceptance::accepted);
   Json::StreamWriterBuilder builder;
   builder["indentation"] = "";
   return Json::writeString(builder, value) + "\n";
@@ -72,7 +75,7 @@
 
 std::uint64_t PendingCalls::add(bool is_read, Version version, std::string body,
                                 std::uint64_t origin_token, TimePoint deadline) {
-  Call& call = calls_[++last_];
+  Call& call = calls_[++last_token_];
   call.is_read = is_read;
   call.version = version;
   call.body = std::move(body);
@@ -80,7 +83,7 @@
     call.digest = digest_of(call.body);
   call.origin_token = origin_token;
   call.deadline = deadline;
-  return last_;
+  return last_token_;
 }
 
 std::uint64_t PendingCalls::add(ForwardedCall forward, std::string origin,
@@ -101,7 +104,7 @@
   return {token, call.is_read, call.version, call.body, term};
 }
 
-std::uint64_t PendingCalls::take(const ForwardedReply& answer, const std::string& from) {
+std::uint64_t PendingCalls::handle_reply(const ForwardedReply& answer, const std::string& from) {
   if (answer.requester != incarnation_)
     return 0;
   const auto found = calls_.find(answer.token);
@@ -118,7 +121,8 @@
   return answer.token;
 }
 
-ForwardedReply PendingCalls::answer(const Call& call, bool is_done, Term term, std::string body) {
+ForwardedReply PendingCalls::make_reply(const Call& call, bool is_done, Term term,
+                                        std::string body) {
   return {call.origin_token, call.origin_incarnation, call.is_read, call.version, call.digest, term,
           is_done,           std::move(body)};
 }
--- a/src/coordination/raft/pending_calls.h
+++ b/src/coordination/raft/pending_calls.h
@@ -15,18 +15,18 @@
 
 // The digests of the bodies taken under the last numbers, agreed together with them: the sheet
 // `orders`. Invariant: one body under each number, the first that was taken.
-inline constexpr const char* orders_document = "orders";
-std::string record_order(const std::string& document, Version version, std::uint64_t digest);
-enum class Taken {
+inline constexpr const char* accepted_document = "orders";
+std::string record_accepted(const std::string& document, Version version, std::uint64_t digest);
+enum class Acceptance {
   unknown,
-  no,
-  yes
+  rejected,
+  accepted
 };  // unknown: too long ago
-Taken find_order(const std::string& document, Version version, std::uint64_t digest);
+Acceptance find_accepted(const std::string& document, Version version, std::uint64_t digest);
 
 // What the operator is told of an order that counts as acknowledged, by the state `committed` here;
 // JSON.
-std::string acknowledge(const Entry& committed, Version version, std::uint64_t digest);
+std::string make_acknowledgement(const Entry& committed, Version version, std::uint64_t digest);
 
 // The calls waiting here. An answer of another registry is believed only if it names this life, the
 // call, its kind and what was asked, comes from whom it was asked last, and, for a read, from a
@@ -56,8 +56,8 @@
   ForwardedCall send(std::uint64_t token, const std::string& to, Term term);
   // The token of the call that it answers; 0: of none, and nothing changed. An answer that nothing
   // was done leaves the call to be asked again.
-  std::uint64_t take(const ForwardedReply& answer, const std::string& from);
-  static ForwardedReply answer(const Call& call, bool is_done, Term term, std::string body);
+  std::uint64_t handle_reply(const ForwardedReply& answer, const std::string& from);
+  static ForwardedReply make_reply(const Call& call, bool is_done, Term term, std::string body);
   Call* find(std::uint64_t token);
   std::optional<Call> remove(std::uint64_t token);
   std::map<std::uint64_t, Call>& calls() {
@@ -69,7 +69,7 @@
 
  private:
   IncarnationId incarnation_;
-  std::uint64_t last_ = 0;
+  std::uint64_t last_token_ = 0;
   std::map<std::uint64_t, Call> calls_;
 };
 
--- a/src/coordination/raft/pending_requests.cpp
+++ b/src/coordination/raft/pending_requests.cpp
@@ -17,8 +17,8 @@
     if (!proposal.document.empty()) {
       entry.documents[proposal.document] = std::move(proposal.text);
     } else if (proposal.version > entry.version) {
-      std::string& orders = entry.documents[orders_document];
-      orders = record_order(orders, proposal.version, digest_of(proposal.body));
+      std::string& orders = entry.documents[accepted_document];
+      orders = record_accepted(orders, proposal.version, digest_of(proposal.body));
       entry.version = proposal.version;
       entry.body = std::move(proposal.body);
     }
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -208,7 +208,7 @@
         if (!(is_good = decode(reader, forwarded)))
           break;
         // Not done: it leads no more, and whoever does is asked next.
-        if (const std::uint64_t token = calls_.take(forwarded, head.from);
+        if (const std::uint64_t token = calls_.handle_reply(forwarded, head.from);
             token && forwarded.is_done)
           finish_call(token, true, std::move(forwarded.body));
         break;
@@ -313,12 +313,12 @@
   if (!call)
     return;
   if (is_done && !call->is_read && body.empty() && raft_.committed())
-    body = acknowledge(*raft_.committed(), call->version, call->digest);
+    body = make_acknowledgement(*raft_.committed(), call->version, call->digest);
   if (call->origin.empty())
     operator_api_->tell({call->origin_token, is_done, std::move(body)});
   else
-    send_to(call->origin,
-            encode(head(), PendingCalls::answer(*call, is_done, raft_.term(), std::move(body))));
+    send_to(call->origin, encode(head(), PendingCalls::make_reply(*call, is_done, raft_.term(),
+                                                                  std::move(body))));
 }
 
 void ControlLoop::handle_output(TimePoint now) {
--- a/tests/coordination/raft/pending_calls_test.cpp
+++ b/tests/coordination/raft/pending_calls_test.cpp
@@ -2,8 +2,8 @@
 #include <criterion/criterion.h>
 #include <json/json.h>
 
-#include "coordination/raft/raft_cluster_fixture.h"
 #include "coordination/raft/pending_calls.h"
+#include "coordination/raft/raft_cluster_fixture.h"
 #include "state/node_settings.h"
 #include "transport/http_client_connection.h"
 #include "transport/http_server.h"
@@ -18,8 +18,9 @@
 Json::Value told(const Entry& committed, std::int64_t version, const std::string& body) {
   Json::Value value;
   std::string reason;
-  cr_assert(read_json(acknowledge(committed, Version{version}, digest_of(body)), value, reason),
-            "%s", reason.c_str());
+  cr_assert(
+      read_json(make_acknowledgement(committed, Version{version}, digest_of(body)), value, reason),
+      "%s", reason.c_str());
   return value;
 }
 
@@ -27,7 +28,7 @@
 ForwardedReply answer_to(PendingCalls& leader, const ForwardedCall& forward,
                          IncarnationId requester, Term term, const std::string& body) {
   const std::uint64_t token = leader.add(forward, "asker:1", requester, start + 1s);
-  return PendingCalls::answer(*leader.remove(token), true, term, body);
+  return PendingCalls::make_reply(*leader.remove(token), true, term, body);
 }
 
 }  // namespace
@@ -41,8 +42,9 @@
   const ForwardedReply good_read = answer_to(leader, requester.send(read, "leader:1", Term{4}),
                                              IncarnationId{11}, Term{4}, "seven");
   const auto is_passed_over = [&](ForwardedReply answer, const std::string& from = "leader:1") {
-    return requester.take(answer, from) == 0 && requester.find(change) && requester.find(read) &&
-           !requester.find(change)->sent_to.empty() && !requester.find(read)->sent_to.empty();
+    return requester.handle_reply(answer, from) == 0 && requester.find(change) &&
+           requester.find(read) && !requester.find(change)->sent_to.empty() &&
+           !requester.find(read)->sent_to.empty();
   };
   cr_expect(is_passed_over(good, "other:1"), "another registry");
   ForwardedReply wrong = good;
@@ -63,8 +65,8 @@
   wrong = good_read, wrong.term = Term{3};
   cr_expect(is_passed_over(wrong),
             "a read confirmed in a lower term than was known when it was asked");
-  cr_expect(requester.take(good, "leader:1") == change &&
-            requester.take(good_read, "leader:1") == read);
+  cr_expect(requester.handle_reply(good, "leader:1") == change &&
+            requester.handle_reply(good_read, "leader:1") == read);
 }
 
 // Tokens begin at 1 in each life: the order of the former one is answered at the same address.
@@ -75,10 +77,10 @@
   const ForwardedCall same =
       present.send(present.add(false, Version{7}, "seven", 1, start + 1s), "leader:1", Term{4});
   cr_assert(order.token == same.token);
-  cr_expect(present.take(answer_to(leader, order, IncarnationId{11}, Term{4}, "{}"), "leader:1") ==
-            0);
-  cr_expect(present.take(answer_to(leader, same, IncarnationId{12}, Term{4}, "{}"), "leader:1") ==
-            same.token);
+  cr_expect(present.handle_reply(answer_to(leader, order, IncarnationId{11}, Term{4}, "{}"),
+                                 "leader:1") == 0);
+  cr_expect(present.handle_reply(answer_to(leader, same, IncarnationId{12}, Term{4}, "{}"),
+                                 "leader:1") == same.token);
 }
 
 Test(calls, a_call_that_was_not_done_is_asked_again) {
@@ -87,9 +89,11 @@
   ForwardedReply refusal =
       answer_to(leader, requester.send(token, "leader:1", Term{4}), IncarnationId{11}, Term{4}, "");
   refusal.is_done = false;
-  cr_expect(requester.take(refusal, "leader:1") == token && requester.find(token)->sent_to.empty());
+  cr_expect(requester.handle_reply(refusal, "leader:1") == token &&
+            requester.find(token)->sent_to.empty());
   requester.send(token, "next:1", Term{5});
-  cr_expect(requester.take(refusal, "leader:1") == 0 && requester.find(token)->sent_to == "next:1",
+  cr_expect(requester.handle_reply(refusal, "leader:1") == 0 &&
+                requester.find(token)->sent_to == "next:1",
             "late, it takes nothing from the next");
 }
 
@@ -149,10 +153,10 @@
   Entry entry;
   entry.version = Version{7};
   entry.body = "seven";
-  std::string orders = record_order("", Version{5}, digest_of("five"));
-  orders = record_order(orders, Version{5}, digest_of("other five"));  // the first stays
-  orders = record_order(orders, Version{7}, digest_of("seven"));
-  entry.documents[orders_document] = orders;
+  std::string orders = record_accepted("", Version{5}, digest_of("five"));
+  orders = record_accepted(orders, Version{5}, digest_of("other five"));  // the first stays
+  orders = record_accepted(orders, Version{7}, digest_of("seven"));
+  entry.documents[accepted_document] = orders;
   Json::Value value = told(entry, 7, "seven");
   cr_expect(value["version"] == 7 && value["changed"] == true && value["taken"] == true &&
             value["superseded"] == false);
@@ -172,11 +176,11 @@
             told(entry, 7, "other seven")["taken"] == false &&
             told(entry, 5, "five")["taken"].isNull());
   for (std::int64_t version = 8; version < 2000; ++version)
-    orders = record_order(orders, Version{version}, digest_of(std::to_string(version)));
+    orders = record_accepted(orders, Version{version}, digest_of(std::to_string(version)));
   cr_expect(orders.size() < 5000 &&
-            find_order(orders, Version{1999}, digest_of("1999")) == Taken::yes &&
-            find_order(orders, Version{7}, digest_of("seven")) == Taken::unknown);
-  cr_expect(find_order("garbage", Version{7}, 0) == Taken::unknown);
+            find_accepted(orders, Version{1999}, digest_of("1999")) == Acceptance::accepted &&
+            find_accepted(orders, Version{7}, digest_of("seven")) == Acceptance::unknown);
+  cr_expect(find_accepted("garbage", Version{7}, 0) == Acceptance::unknown);
 }
 
 // Two operators under one number, at the same moment; then newer ones, a change of leader, all
--- a/tests/protocol/document_format_test.cpp
+++ b/tests/protocol/document_format_test.cpp
@@ -177,16 +177,16 @@
 Test(document_format, accepted_orders) {
   std::string document;
   expect_fixture(document_fixture("orders_one"),
-                 document = record_order(document, Version{321}, 0x1112131415161718));
+                 document = record_accepted(document, Version{321}, 0x1112131415161718));
   expect_fixture(document_fixture("orders_two"),
-                 document = record_order(document, Version{322}, 0x2122232425262728));
-  expect_fixture(document_fixture("orders_two"), record_order(document, Version{321}, 7));
+                 document = record_accepted(document, Version{322}, 0x2122232425262728));
+  expect_fixture(document_fixture("orders_two"), record_accepted(document, Version{321}, 7));
   const std::string bytes = read_fixture(document_fixture("orders_two"));
-  cr_expect(find_order(bytes, Version{321}, 0x1112131415161718) == Taken::yes);
-  cr_expect(find_order(bytes, Version{322}, 0x2122232425262728) == Taken::yes);
-  cr_expect(find_order(bytes, Version{321}, 7) == Taken::no);
+  cr_expect(find_accepted(bytes, Version{321}, 0x1112131415161718) == Acceptance::accepted);
+  cr_expect(find_accepted(bytes, Version{322}, 0x2122232425262728) == Acceptance::accepted);
+  cr_expect(find_accepted(bytes, Version{321}, 7) == Acceptance::rejected);
   const auto decodes = [](const std::string& some) {
-    return find_order(some, Version{321}, 0x1112131415161718) == Taken::yes;
+    return find_accepted(some, Version{321}, 0x1112131415161718) == Acceptance::accepted;
   };
   expect_prefixes_refused("orders_two", bytes, decodes, {16});
   decode_random_bytes({}, bytes, decodes);
@@ -211,5 +211,5 @@
 // The names under which the documents are kept.
 Test(document_format, names) {
   expect_fixture("documents/names.txt", std::string(leadership_document) + "\n" + ring_document +
-                                            "\n" + orders_document + "\n");
+                                            "\n" + accepted_document + "\n");
 }
