--- a/src/broker/broker_loop.h
+++ b/src/broker/broker_loop.h
@@ -8,11 +8,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/routing/delegated_gather.h"
+#include "control_client/control_plane_client.h"
 #include "coordination/routing/alerts.h"
 #include "coordination/routing/bulkhead.h"
+#include "coordination/routing/delegated_gather.h"
 #include "coordination/routing/proxied_request.h"
-#include "control_client/control_plane_client.h"
 #include "transport/http_client_connection.h"
 #include "transport/http_server.h"
 
@@ -135,7 +135,7 @@
   void answer(ProxiedRequest& proxied_request, FinalAnswer answer, TimePoint now) override;
   RetryBudget& budget(const std::string& service) override;
   double reserve(TimePoint now) override {
-    return view_->reserve.part(now);
+    return view_->reserve.available(now);
   }
   PickResult pick(const std::vector<BackendPointer>& backends,
                   const std::vector<const Backend*>& tried, int max_connections, TimePoint now,
--- a/src/control_client/control_plane_client.cpp
+++ b/src/control_client/control_plane_client.cpp
@@ -95,15 +95,16 @@
       handles.push_back(line.client->handle());
     for (const auto& [address, client] : delegates_)
       handles.push_back(client->handle());
-    TimePoint due =
-        version_switch_.is_turning() ? std::min(follow_due_, version_switch_.due()) : follow_due_;
-    if (fetched_ > version_switch_.held())
+    TimePoint due = version_switch_.is_switch_pending()
+                        ? std::min(follow_due_, version_switch_.activation_deadline())
+                        : follow_due_;
+    if (fetched_ > version_switch_.version_held())
       due = std::min(due, fetch_due_);
     wait_links(
         handles, waker_,
         std::clamp(std::chrono::ceil<Duration>(due - Clock::now()), Duration(0), Duration(1000)));
     for (auto& [address, line] : lines_)
-      take_each(
+      handle_each(
           256, [&] { return line.client->receive(); }, Clock::now,
           [&](const ReceivedFrame& frame, TimePoint came) { take(frame, came); });
     const TimePoint now = Clock::now();
@@ -167,7 +168,7 @@
   const bool was_confirmed = control_source_.is_confirmed(control_source_.chosen(), now);
   const ControlSourceSelector::Heard last_contact = control_source_.take(head.from, heartbeat, now);
   if (last_contact.is_steering) {
-    version_switch_.see_in_force(heartbeat.in_force);
+    version_switch_.observe_in_force(heartbeat.in_force);
     if (lease_)
       handle_leadership_lease(heartbeat, *last_contact.asked);
     if (ring_)
@@ -175,10 +176,10 @@
     if (edges_)
       take_edges(heartbeat);
     if (heartbeat.grant_valid) {
-      reserve_.take(static_cast<double>(heartbeat.grant) / 1000,
-                    Duration(static_cast<std::int64_t>(
-                        std::min<std::uint64_t>(heartbeat.grant_valid, 60000))),
-                    *last_contact.asked);
+      reserve_.update(static_cast<double>(heartbeat.grant) / 1000,
+                      Duration(static_cast<std::int64_t>(
+                          std::min<std::uint64_t>(heartbeat.grant_valid, 60000))),
+                      *last_contact.asked);
       if (now - reserve_shown_ >= settings_.follow * 2) {  // well before the one shown runs out
         reserve_shown_ = now;
         has_news_ = true;
@@ -198,7 +199,7 @@
       has_news_ = true;
     }
   }
-  if (heartbeat.version > version_switch_.held())
+  if (heartbeat.version > version_switch_.version_held())
     fetch(now);
   turn(now);
 }
@@ -233,7 +234,7 @@
 void ControlPlaneClient::fetch(TimePoint now) {
   const std::pair<const std::string, ControlSourceSelector::Source>* best = nullptr;
   const bool has_feed = is_ready_ && !control_source_.chosen().empty();
-  const Version held = version_switch_.held();
+  const Version held = version_switch_.version_held();
   for (const auto& item : control_source_.sources()) {
     if (item.second.version <= held)
       continue;
@@ -261,7 +262,7 @@
 }
 
 void ControlPlaneClient::take_body(ConfigurationPayload body, TimePoint now) {
-  if (body.version <= version_switch_.held())
+  if (body.version <= version_switch_.version_held())
     return;  // never back within a life
   ConfigurationSnapshot snapshot;
   std::string text;
@@ -273,7 +274,7 @@
     LOG(ERROR) << "follow: configuration unreadable: " << found.text();
     return;
   }
-  version_switch_.take(std::move(snapshot), now);
+  version_switch_.prepare(std::move(snapshot), now);
   fetch_due_ = {};
   steps_.note(body.version, "held", now);
   LOG(INFO) << "follow: edition " << body.version.value << " held";
@@ -282,7 +283,7 @@
 }
 
 void ControlPlaneClient::turn(TimePoint now) {
-  if (!version_switch_.turn(is_ready_, now))
+  if (!version_switch_.activate(is_ready_, now))
     return;
   has_news_ = true;
   steps_.note(version_switch_.serving()->version, "in force", now);
@@ -357,7 +358,7 @@
     Traced traced;
     traced.node = settings_.node_name;
     traced.role = "broker";
-    traced.held = version_switch_.held();
+    traced.held = version_switch_.version_held();
     traced.steps = steps_.tell(now);
     traced.registries = control_source_.registries();
     frame_server_.send(frame->routing_id,
--- a/src/control_client/subscription.cpp
+++ b/src/control_client/subscription.cpp
@@ -23,7 +23,7 @@
   const bool is_feed = address == control_source_.chosen(),
              is_leader = control_source_.is_leader(known->second);
   SubscribeRequest follow;
-  follow.version = version_switch_.held();
+  follow.version = version_switch_.version_held();
   follow.endpoints_incarnation = line.incarnation;
   follow.endpoints_revision = line.revision;
   follow.wants_body = wants_body;
--- a/src/coordination/databases/failover.cpp
+++ b/src/coordination/databases/failover.cpp
@@ -32,7 +32,7 @@
 void Failover::record_pooler(const std::string& from, IncarnationId incarnation,
                              std::uint64_t revision, const std::string& zone,
                              const std::string& failing, const std::string& fine, TimePoint now) {
-  leases_.note(from, incarnation, revision, now);
+  leases_.record(from, incarnation, revision, now);
   witnesses_[from] = {revision, now, zone, failing, fine};
 }
 
@@ -82,7 +82,7 @@
     led_since_ = now;
     cases_.clear();
     pending_.clear();
-    leases_.reset(now);
+    leases_.start_term(now);
     witnesses_.clear();
     stepped_.clear();
     is_proposing_ = false;
@@ -90,7 +90,7 @@
   is_leading_ = is_leading;
   if (!is_leading)
     return;
-  leases_.forget(now);
+  leases_.erase_expired(now);
   std::erase_if(witnesses_,
                 [&](const auto& item) { return now - item.second.told > options_.lease; });
   table_ = table;
@@ -211,7 +211,7 @@
 // Nobody may use the old leader any more. Once no pooler can, the logs are compared: what was
 // acknowledged by then does not change any more, so no copy needs to be paused for it.
 void Failover::close(const DatabaseLeadership& lead, int sync, const Seats& seats, TimePoint now) {
-  if (leases_.is_held(lead.revision, now))
+  if (leases_.has_lease_before(lead.revision, now))
     return;
   Case& at = cases_[lead.service];
   if (at.is_asking || (at.was_promoted && now - at.promoted < options_.late_promotion))
@@ -282,7 +282,7 @@
 }
 
 void Failover::promote(const DatabaseLeadership& lead, const Seats& seats, TimePoint now) {
-  if (leases_.is_held(lead.revision, now))
+  if (leases_.has_lease_before(lead.revision, now))
     return;
   Case& at = cases_[lead.service];
   if (const auto found = at.statuses.find(lead.target);
--- a/src/coordination/discovery/control_source_selector.cpp
+++ b/src/coordination/discovery/control_source_selector.cpp
@@ -40,7 +40,7 @@
 
 std::uint64_t ControlSourceSelector::turn(TimePoint now) {
   ++turn_;
-  return request_clock_.ask(now);
+  return request_clock_.record_request(now);
 }
 
 bool ControlSourceSelector::should_ask(const std::string& address, std::size_t position,
@@ -61,7 +61,7 @@
                                                          TimePoint now) {
   Heard last_contact;
   const bool may_steer = fence_.admits(heartbeat.term, heartbeat.is_leader);
-  last_contact.asked = request_clock_.find(heartbeat.requester, heartbeat.token);
+  last_contact.asked = request_clock_.sent_at(heartbeat.requester, heartbeat.token);
   const auto found = sources_.find(address);
   if (found == sources_.end())
     return last_contact;
--- a/src/coordination/discovery/control_source_selector.h
+++ b/src/coordination/discovery/control_source_selector.h
@@ -48,7 +48,7 @@
   bool should_ask(const std::string& address, std::size_t position, bool is_ready,
                   TimePoint now) const;
   std::uint64_t token() const {
-    return request_clock_.last();
+    return request_clock_.last_token();
   }
 
   struct Heard {
@@ -68,7 +68,7 @@
     return control_source_;
   }
   bool is_leader(const Source& source) const {
-    return source.is_leader && source.term == fence_.highest();
+    return source.is_leader && source.term == fence_.highest_term();
   }
   bool is_confirmed(const std::string& address, TimePoint now) const;
   // Ready: a configuration and a roster that a registry with a majority behind it confirmed in this
@@ -88,7 +88,7 @@
     return registries_;
   }
   TimePoint asked_or_never(IncarnationId requester, std::uint64_t token) const {
-    return request_clock_.find(requester, token).value_or(TimePoint{});
+    return request_clock_.sent_at(requester, token).value_or(TimePoint{});
   }
 
  private:
--- a/src/coordination/leases/lease_table.h
+++ b/src/coordination/leases/lease_table.h
@@ -9,59 +9,60 @@
 
 namespace saddlewing {
 
-// Invariant: nobody acts by a table older than `revision` once is_held(mark) is false. A grant
-// counts here from its giving and at the holder from its asking, which came before; a new leader
-// waits out what its forerunner may have given.
+// Invariant: nobody acts by a table older than `revision` once has_lease_before(revision) is false.
+// A grant counts here from its giving and at the holder from its asking, which came before; a new
+// leader waits out what its forerunner may have given.
 class LeaseTable {
  public:
-  LeaseTable(Duration lease, Duration settle) : lease_(lease), settle_(settle) {
+  LeaseTable(Duration lease_duration, Duration takeover_wait)
+      : lease_duration_(lease_duration), takeover_wait_(takeover_wait) {
   }
-  void reset(TimePoint now) {
-    rows_.clear();
-    since_ = now;
+  void start_term(TimePoint now) {
+    entries_.clear();
+    term_started_ = now;
   }
   // `revision`: of the table by which alone it acts.
-  void note(const std::string& from, IncarnationId incarnation, std::uint64_t revision,
-            TimePoint now) {
-    const auto [position, is_new] = rows_.try_emplace({from, incarnation});
-    Row& row = position->second;
+  void record(const std::string& holder, IncarnationId incarnation, std::uint64_t revision,
+              TimePoint now) {
+    const auto [position, is_new] = entries_.try_emplace({holder, incarnation});
+    Entry& entry = position->second;
     // The life before is over, and its holds with it. What of its frames comes late ends no hold of
     // its successor.
     if (is_new)
-      for (auto& [key, other] : rows_)
-        if (key.first == from && key.second != incarnation)
-          other.until = {};
-    row.revision = std::max(row.revision, revision);
-    row.told = now;
+      for (auto& [key, other] : entries_)
+        if (key.first == holder && key.second != incarnation)
+          other.expires_at = {};
+    entry.revision = std::max(entry.revision, revision);
+    entry.last_contact = now;
   }
-  Duration grant(const std::string& from, IncarnationId incarnation, TimePoint now) {
-    const auto found = rows_.find({from, incarnation});
-    if (found == rows_.end())
+  Duration grant(const std::string& holder, IncarnationId incarnation, TimePoint now) {
+    const auto found = entries_.find({holder, incarnation});
+    if (found == entries_.end())
       return Duration(0);
-    found->second.until = now + lease_;
-    return lease_;
+    found->second.expires_at = now + lease_duration_;
+    return lease_duration_;
   }
-  bool is_held(std::uint64_t revision, TimePoint now) const {
-    if (now - since_ < settle_)
+  bool has_lease_before(std::uint64_t revision, TimePoint now) const {
+    if (now - term_started_ < takeover_wait_)
       return true;
-    return std::any_of(rows_.begin(), rows_.end(), [&](const auto& item) {
-      return item.second.revision < revision && item.second.until >= now;
+    return std::any_of(entries_.begin(), entries_.end(), [&](const auto& item) {
+      return item.second.revision < revision && item.second.expires_at >= now;
     });
   }
-  void forget(TimePoint now) {
-    std::erase_if(rows_, [&](const auto& item) {
-      return item.second.until < now && now - item.second.told > lease_ * 4;
+  void erase_expired(TimePoint now) {
+    std::erase_if(entries_, [&](const auto& item) {
+      return item.second.expires_at < now && now - item.second.last_contact > lease_duration_ * 4;
     });
   }
 
  private:
-  struct Row {
+  struct Entry {
     std::uint64_t revision = 0;
-    TimePoint until{}, told{};
+    TimePoint expires_at{}, last_contact{};
   };
-  Duration lease_, settle_;
-  TimePoint since_{};
-  std::map<std::pair<std::string, IncarnationId>, Row> rows_;  // by inner address and life
+  Duration lease_duration_, takeover_wait_;
+  TimePoint term_started_{};
+  std::map<std::pair<std::string, IncarnationId>, Entry> entries_;  // by inner address and life
 };
 
 }  // namespace saddlewing
--- a/src/coordination/leases/retry_quota.h
+++ b/src/coordination/leases/retry_quota.h
@@ -16,47 +16,48 @@
 // must have come free.
 class RetryQuotaAllocator {
  public:
-  RetryQuotaAllocator(int reserve, Duration valid, Duration window)
-      : reserve_(reserve), valid_(valid), window_(window) {
+  RetryQuotaAllocator(int total, Duration grant_duration, Duration window)
+      : total_(total), grant_duration_(grant_duration), window_(window) {
   }
 
-  void lead(bool is_leading, TimePoint now) {
+  void set_leading(bool is_leading, TimePoint now) {
     if (is_leading && !is_leading_) {
       slots_.clear();
-      quiet_until_ = now + valid_ + window_ * 2;
+      first_grant_at_ = now + grant_duration_ + window_ * 2;
     }
     is_leading_ = is_leading;
   }
   // What this life of a broker may use, valid for `valid` from now; 0 while there is no slot for
   // it.
-  double grant(const std::string& broker, IncarnationId incarnation, std::size_t brokers,
+  double grant(const std::string& broker, IncarnationId incarnation, std::size_t broker_count,
                TimePoint now) {
-    if (!is_leading_ || now < quiet_until_ || reserve_ <= 0)
+    if (!is_leading_ || now < first_grant_at_ || total_ <= 0)
       return 0;
-    std::erase_if(slots_,
-                  [&](const auto& slot) { return now > slot.second + valid_ + window_ * 2; });
+    std::erase_if(slots_, [&](const auto& slot) {
+      return now > slot.second + grant_duration_ + window_ * 2;
+    });
     // The number of slots is set anew only while none is taken: it leaves room for as many brokers
     // again.
     if (slots_.empty())
-      max_slots_ = std::max<std::size_t>(4, brokers * 2);
+      max_slots_ = std::max<std::size_t>(4, broker_count * 2);
     const auto key = std::pair(broker, incarnation.value);
     if (!slots_.contains(key) && slots_.size() >= max_slots_)
       return 0;
     slots_[key] = now;
-    return static_cast<double>(reserve_) / static_cast<double>(max_slots_);
+    return static_cast<double>(total_) / static_cast<double>(max_slots_);
   }
-  std::size_t taken() const {
+  std::size_t slot_count() const {
     return slots_.size();
   }
-  Duration valid() const {
-    return valid_;
+  Duration grant_duration() const {
+    return grant_duration_;
   }
 
  private:
-  int reserve_;
-  Duration valid_, window_;
+  int total_;
+  Duration grant_duration_, window_;
   bool is_leading_ = false;
-  TimePoint quiet_until_{};
+  TimePoint first_grant_at_{};
   std::size_t max_slots_ = 4;
   std::map<std::pair<std::string, std::uint64_t>, TimePoint> slots_;  // when last granted
 };
@@ -64,17 +65,17 @@
 // A broker's side: the grant of the moment, less a margin for the frame's way.
 class RetryQuota {
  public:
-  void take(double amount, Duration valid, TimePoint now) {
+  void update(double amount, Duration duration, TimePoint now) {
     amount_ = amount;
-    until_ = now + valid;
+    expires_at_ = now + duration;
   }
-  double part(TimePoint now) const {
-    return now < until_ ? amount_ : 0;
+  double available(TimePoint now) const {
+    return now < expires_at_ ? amount_ : 0;
   }
 
  private:
   double amount_ = 0;
-  TimePoint until_{};
+  TimePoint expires_at_{};
 };
 
 }  // namespace saddlewing
--- a/src/coordination/placement/shard_migration.cpp
+++ b/src/coordination/placement/shard_migration.cpp
@@ -202,7 +202,7 @@
 
 // Whether somebody may still act by a sheet before this step's.
 bool ShardMigration::is_awaited(const RingMove& move, TimePoint now) {
-  if (!leases_.is_held(move.revision, now))
+  if (!leases_.has_lease_before(move.revision, now))
     return false;
   works_[move.id].why = "waits for brokers that have not confirmed it, or for their leases to end";
   return true;
@@ -306,7 +306,7 @@
 void ShardMigration::tick(bool is_leading, const RingDocument& document, const RingMap& ring,
                           bool are_lookups_well, TimePoint now) {
   if (is_leading && !is_leading_) {
-    leases_.reset(now);
+    leases_.start_term(now);
     works_.clear();
     pending_.clear();
     wanted_.clear();
@@ -315,7 +315,7 @@
   }
   is_leading_ = is_leading;
   ring_ = &ring;
-  leases_.forget(now);
+  leases_.erase_expired(now);
   if (is_proposing_)
     return;
   revision_ = document.revision;
--- a/src/coordination/rollout/version_rollout.h
+++ b/src/coordination/rollout/version_rollout.h
@@ -19,24 +19,25 @@
     if (version <= committed_)
       return;
     committed_ = version;
-    since_ = now;
+    wait_started_ = now;
   }
-  enum class Turn {
+  enum class Activation {
     none,
-    held_by_all,
-    waited_enough
+    acknowledged_by_all,
+    timed_out
   };
-  // `held`: what each broker heard of late says it holds. Who does not hold it in time is not
-  // waited for.
-  Turn advance(const std::vector<Version>& held, TimePoint now) {
+  // `versions_held`: what each broker heard of late says it holds. Who does not hold it in time is
+  // not waited for.
+  Activation advance(const std::vector<Version>& versions_held, TimePoint now) {
     if (in_force_ >= committed_)
-      return Turn::none;
-    const bool is_held = std::all_of(held.begin(), held.end(),
-                                     [&](Version version) { return version >= committed_; });
-    if (!is_held && now - since_ < max_wait_)
-      return Turn::none;
+      return Activation::none;
+    const bool is_acknowledged =
+        std::all_of(versions_held.begin(), versions_held.end(),
+                    [&](Version version) { return version >= committed_; });
+    if (!is_acknowledged && now - wait_started_ < max_wait_)
+      return Activation::none;
     in_force_ = committed_;
-    return is_held ? Turn::held_by_all : Turn::waited_enough;
+    return is_acknowledged ? Activation::acknowledged_by_all : Activation::timed_out;
   }
   Version in_force() const {
     return in_force_;
@@ -48,55 +49,55 @@
  private:
   Duration max_wait_;
   Version committed_, in_force_;
-  TimePoint since_{};
+  TimePoint wait_started_{};
 };
 
-// At a broker. Invariant: `coming` is null or of a higher version than `serving`, and `serving`
+// At a broker. Invariant: `pending_` is null or of a higher version than `serving_`, and `serving_`
 // never goes back.
 class VersionSwitch {
  public:
   explicit VersionSwitch(Duration max_wait) : max_wait_(max_wait) {
   }
-  bool take(ConfigurationSnapshot snapshot, TimePoint now) {
-    if (snapshot->version <= held())
+  bool prepare(ConfigurationSnapshot snapshot, TimePoint now) {
+    if (snapshot->version <= version_held())
       return false;
-    if (!coming_)
-      since_ = now;
-    coming_ = std::move(snapshot);
+    if (!pending_)
+      wait_started_ = now;
+    pending_ = std::move(snapshot);
     return true;
   }
-  void see_in_force(Version version) {
+  void observe_in_force(Version version) {
     in_force_ = std::max(in_force_, version);
   }
   // A first version in this life has nothing to wait for, and none is waited for without end:
   // registries may be out of reach. True if the version to serve by changed.
-  bool turn(bool is_serving, TimePoint now) {
-    if (!coming_)
+  bool activate(bool is_serving, TimePoint now) {
+    if (!pending_)
       return false;
-    if (serving_ && is_serving && in_force_ < coming_->version && now < due())
+    if (serving_ && is_serving && in_force_ < pending_->version && now < activation_deadline())
       return false;
-    serving_ = std::move(coming_);
-    coming_ = nullptr;
+    serving_ = std::move(pending_);
+    pending_ = nullptr;
     return true;
   }
-  Version held() const {
-    return coming_ ? coming_->version : serving_ ? serving_->version : Version{};
+  Version version_held() const {
+    return pending_ ? pending_->version : serving_ ? serving_->version : Version{};
   }
   const ConfigurationSnapshot& serving() const {
     return serving_;
   }
-  bool is_turning() const {
-    return coming_ != nullptr;
+  bool is_switch_pending() const {
+    return pending_ != nullptr;
   }
-  TimePoint due() const {
-    return since_ + max_wait_;
+  TimePoint activation_deadline() const {
+    return wait_started_ + max_wait_;
   }
 
  private:
   Duration max_wait_;
-  ConfigurationSnapshot serving_, coming_;
+  ConfigurationSnapshot serving_, pending_;
   Version in_force_;
-  TimePoint since_{};
+  TimePoint wait_started_{};
 };
 
 }  // namespace saddlewing
--- a/src/registry/control_databases.cpp
+++ b/src/registry/control_databases.cpp
@@ -126,7 +126,7 @@
                           follow.failing, follow.fine, now);
   // The follow was built that long after our beat came there, so not before that long after it
   // left.
-  if (const auto sent = broker.heartbeats.find(follow.echo_incarnation, follow.echo);
+  if (const auto sent = broker.heartbeats.sent_at(follow.echo_incarnation, follow.echo);
       sent && !follow.samples.empty())
     samples_.take(
         follow.samples,
--- a/src/registry/control_discovery.cpp
+++ b/src/registry/control_discovery.cpp
@@ -162,7 +162,7 @@
   if (is_granting && heartbeat.is_leader) {
     heartbeat.grant = static_cast<std::uint64_t>(
         grants_.grant(to.from, to.incarnation, brokers_.size(), now) * 1000);
-    heartbeat.grant_valid = static_cast<std::uint64_t>(grants_.valid().count());
+    heartbeat.grant_valid = static_cast<std::uint64_t>(grants_.grant_duration().count());
   }
   if (heartbeat.brokers_revision == to.brokers_revision)
     heartbeat.seats.clear();
@@ -176,7 +176,7 @@
     heartbeat.leaderships = leaderships_text_;
   if (to.is_pooler && to.wants_endpoints) {
     heartbeat.samples = samples_.tell(now, oldest_sample);
-    heartbeat.serial = to.heartbeats.ask(now);
+    heartbeat.serial = to.heartbeats.record_request(now);
   }
   frame_server_.send(to.routing_id, encode(head(), heartbeat));
 }
@@ -279,11 +279,13 @@
   std::vector<Version> held;
   for (const auto& [from, broker] : brokers_)
     held.push_back(broker.held);
-  const VersionRollout::Turn turn = rollout_.advance(held, now);
-  if (turn == VersionRollout::Turn::none)
+  const VersionRollout::Activation activation = rollout_.advance(held, now);
+  if (activation == VersionRollout::Activation::none)
     return;
   steps_.note(rollout_.in_force(),
-              turn == VersionRollout::Turn::held_by_all ? "held by all" : "waited enough", now);
+              activation == VersionRollout::Activation::acknowledged_by_all ? "held by all"
+                                                                            : "waited enough",
+              now);
   for (auto& [from, broker] : brokers_)
     send_heartbeat(broker, false, now);
 }
--- a/src/registry/control_edges.cpp
+++ b/src/registry/control_edges.cpp
@@ -62,11 +62,13 @@
     for (const auto& [from, broker] : brokers_)
       if (!broker.is_pooler)
         held.push_back(Version{static_cast<std::int64_t>(broker.edges_held)});
-    const VersionRollout::Turn turn = edge_rollout_.advance(held, now);
-    if (turn != VersionRollout::Turn::none) {
+    const VersionRollout::Activation activation = edge_rollout_.advance(held, now);
+    if (activation != VersionRollout::Activation::none) {
       LOG(INFO) << "edges: view " << (edge_aggregator_.view()->revision & 0xffffffff)
                 << " in force, "
-                << (turn == VersionRollout::Turn::held_by_all ? "held by all" : "waited enough");
+                << (activation == VersionRollout::Activation::acknowledged_by_all
+                        ? "held by all"
+                        : "waited enough");
       metrics().set(Metric::edges_revision,
                     static_cast<std::int64_t>(edge_aggregator_.view()->revision & 0xffffffff));
       for (auto& [from, broker] : brokers_)
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "state/metrics.h"
 #include "state/compression.h"
+#include "state/metrics.h"
 
 namespace saddlewing {
 namespace {
@@ -123,7 +123,7 @@
       handle_event(event, Clock::now());
     for (auto& contacts : contacts_.take())
       raft_.set_contacts(std::move(contacts));
-    take_each(
+    handle_each(
         512, [&] { return frame_server_.receive(); }, Clock::now,
         [&](const ReceivedFrame& frame, TimePoint came) { handle_frame(frame, came); });
     const TimePoint now = Clock::now();
@@ -138,7 +138,7 @@
     update_databases(now);
     update_ring(now);
     update_edges(now);
-    grants_.lead(raft_.is_leader() && raft_.is_confirmed(now), now);
+    grants_.set_leading(raft_.is_leader() && raft_.is_confirmed(now), now);
     dispatcher_->set_lease(raft_.term(), raft_.lease_until());
     update_brokers(now);
     advance_rollout(now);
--- a/src/registry/control_ring.cpp
+++ b/src/registry/control_ring.cpp
@@ -256,7 +256,7 @@
     heartbeat.ring = ring_text_;
   if (should_leave_)
     return;
-  shard_migration_.leases().note(from.from, from.incarnation, follow.ring_revision, now);
+  shard_migration_.leases().record(from.from, from.incarnation, follow.ring_revision, now);
   heartbeat.lease = static_cast<std::uint64_t>(
       shard_migration_.leases().grant(from.from, from.incarnation, now).count());
   std::vector<std::pair<VirtualNode, RingLoad>> loads;
--- a/tests/coordination/leases/retry_quota_test.cpp
+++ b/tests/coordination/leases/retry_quota_test.cpp
@@ -11,21 +11,21 @@
 
 }  // namespace
 
-Test(grants, a_new_leader_waits_until_former_grants_are_over) {
-  RetryQuotaAllocator grants(56, valid, window);
-  cr_expect(grants.grant("a", IncarnationId{1}, 4, start) == 0, "it does not lead");
-  grants.lead(true, start);
-  cr_expect(grants.grant("a", IncarnationId{1}, 4, start + 21s) == 0);
-  cr_expect(grants.grant("a", IncarnationId{1}, 4, start + 23s) == 7);
-  grants.lead(false, start + 24s);
-  cr_expect(grants.grant("a", IncarnationId{1}, 4, start + 24s) == 0);
+Test(retry_quota, a_new_leader_grants_nothing_until_former_grants_have_expired) {
+  RetryQuotaAllocator allocator(56, valid, window);
+  cr_expect(allocator.grant("a", IncarnationId{1}, 4, start) == 0, "it does not lead");
+  allocator.set_leading(true, start);
+  cr_expect(allocator.grant("a", IncarnationId{1}, 4, start + 21s) == 0);
+  cr_expect(allocator.grant("a", IncarnationId{1}, 4, start + 23s) == 7);
+  allocator.set_leading(false, start + 24s);
+  cr_expect(allocator.grant("a", IncarnationId{1}, 4, start + 24s) == 0);
 }
 
 // Brokers come, restart and vanish at every step; what may be held or was used within a window
 // never exceeds the whole.
-Test(grants, the_sum_never_exceeds_the_reserve) {
-  RetryQuotaAllocator grants(56, valid, window);
-  grants.lead(true, start - 60s);
+Test(retry_quota, outstanding_grants_never_exceed_the_quota) {
+  RetryQuotaAllocator allocator(56, valid, window);
+  allocator.set_leading(true, start - 60s);
   std::map<std::pair<int, std::uint64_t>, std::pair<double, TimePoint>>
       held;  // amount, last granted
   std::uint64_t noise = 88172645463325252ull;
@@ -39,8 +39,8 @@
         ++incarnations[broker];  // a restart
       if (draw() % 3 == 0)
         continue;  // not heard this time
-      const double amount = grants.grant(std::to_string(broker),
-                                         IncarnationId{incarnations[broker]}, draw() % 12 + 1, now);
+      const double amount = allocator.grant(
+          std::to_string(broker), IncarnationId{incarnations[broker]}, draw() % 12 + 1, now);
       if (amount > 0)
         held[{broker, incarnations[broker]}] = {amount, now};
     }
@@ -53,9 +53,9 @@
   cr_expect(!held.empty());
 }
 
-Test(grants, a_broker_uses_a_grant_only_while_it_is_valid) {
-  RetryQuota reserve;
-  cr_expect(reserve.part(start) == 0);
-  reserve.take(7, valid, start);
-  cr_expect(reserve.part(start + 1999ms) == 7 && reserve.part(start + 2000ms) == 0);
+Test(retry_quota, a_grant_expires_after_its_duration) {
+  RetryQuota quota;
+  cr_expect(quota.available(start) == 0);
+  quota.update(7, valid, start);
+  cr_expect(quota.available(start + 1999ms) == 7 && quota.available(start + 2000ms) == 0);
 }
--- a/tests/coordination/leases/term_fence_test.cpp
+++ b/tests/coordination/leases/term_fence_test.cpp
@@ -4,10 +4,10 @@
 
 #include <optional>
 
-#include "coordination/raft/raft_cluster_fixture.h"
 #include "coordination/discovery/control_source_selector.h"
-#include "coordination/leases/retry_quota.h"
 #include "coordination/leases/lease_table.h"
+#include "coordination/leases/retry_quota.h"
+#include "coordination/raft/raft_cluster_fixture.h"
 #include "coordination/rollout/version_rollout.h"
 
 using namespace saddlewing;
@@ -30,29 +30,30 @@
 
 }  // namespace
 
-Test(fence, only_who_leads_in_the_highest_term_heard_of_is_obeyed) {
+Test(term_fence, only_the_leader_of_the_highest_known_term_is_admitted) {
   TermFence fence;
   cr_expect(!fence.admits(Term{0}, true), "without a term nobody leads");
   cr_expect(fence.admits(Term{3}, true) && !fence.admits(Term{3}, false));
   cr_expect(!fence.admits(Term{4}, false), "a follower's word of a later term does not steer");
   cr_expect(!fence.admits(Term{3}, true), "but it ends the earlier leader's");
-  cr_expect(fence.admits(Term{4}, true) && fence.highest() == Term{4});
+  cr_expect(fence.admits(Term{4}, true) && fence.highest_term() == Term{4});
 }
 
-Test(fence, an_answer_counts_from_its_asking_and_only_in_the_life_that_asked) {
-  RequestClock attempts(IncarnationId{7});
-  const std::uint64_t first = attempts.ask(start), second = attempts.ask(start + 400ms);
-  cr_expect(attempts.find(IncarnationId{7}, first) == start &&
-            attempts.find(IncarnationId{7}, second) == start + 400ms);
-  cr_expect(!attempts.find(IncarnationId{6}, first), "a former life counted its tokens anew");
-  cr_expect(!attempts.find(IncarnationId{7}, second + 1) && !attempts.find(IncarnationId{7}, 0));
+Test(term_fence, a_reply_counts_from_its_request_and_only_in_the_same_incarnation) {
+  RequestClock clock(IncarnationId{7});
+  const std::uint64_t first = clock.record_request(start),
+                      second = clock.record_request(start + 400ms);
+  cr_expect(clock.sent_at(IncarnationId{7}, first) == start &&
+            clock.sent_at(IncarnationId{7}, second) == start + 400ms);
+  cr_expect(!clock.sent_at(IncarnationId{6}, first), "a former life counted its tokens anew");
+  cr_expect(!clock.sent_at(IncarnationId{7}, second + 1) && !clock.sent_at(IncarnationId{7}, 0));
   for (int count = 0; count < 200; ++count)
-    attempts.ask(start + 1s);
-  cr_expect(!attempts.find(IncarnationId{7}, first),
+    clock.record_request(start + 1s);
+  cr_expect(!clock.sent_at(IncarnationId{7}, first),
             "one that isn't known any more counts for nothing");
 }
 
-Test(fence, a_broker_that_heard_of_a_new_leader_takes_nothing_from_the_old_one) {
+Test(term_fence, a_broker_that_knows_a_new_term_rejects_the_former_leader) {
   ControlSourceSelector selector({"here", "north", Duration(400), Duration(2000)}, IncarnationId{7},
                                  start);
   selector.set_seeds({"old:1", "new:1", "other:1"}, start);
@@ -78,16 +79,15 @@
 }
 
 // Also one that hears nobody but the old leader: an answer is as old as its asking.
-Test(fence, what_lay_in_buffers_confirms_and_steers_nothing) {
+Test(term_fence, a_reply_delayed_in_a_buffer_neither_confirms_nor_steers) {
   ControlSourceSelector selector({"here", "north", Duration(400), Duration(2000)}, IncarnationId{7},
                                  start);
   selector.set_seeds({"old:1"}, start);
   const std::uint64_t token = selector.turn(start);
   selector.turn(start + 20s);
-  const ControlSourceSelector::Heard last_contact =
+  const ControlSourceSelector::Heard reply =
       selector.take("old:1", heartbeat_of(1, true, IncarnationId{7}, token), start + 20s);
-  cr_expect(!last_contact.is_steering && !last_contact.asked &&
-            !selector.is_confirmed("old:1", start + 20s));
+  cr_expect(!reply.is_steering && !reply.asked && !selector.is_confirmed("old:1", start + 20s));
   cr_expect(!selector.take("old:1", heartbeat_of(1, true, IncarnationId{6}, token + 1), start + 20s)
                  .asked,
             "meant for a former life");
@@ -95,24 +95,24 @@
                 .asked == start + 20s);
 }
 
-Test(fence, a_grant_of_tries_counts_from_the_asking_that_it_answers) {
+Test(term_fence, a_retry_grant_counts_from_the_request_it_answers) {
   ControlSourceSelector selector({"here", "north", Duration(400), Duration(2000)}, IncarnationId{7},
                                  start);
   selector.set_seeds({"old:1"}, start);
   const std::uint64_t token = selector.turn(start);
   selector.turn(start + 1900ms);  // the newest asking is not what this one answers
-  const ControlSourceSelector::Heard last_contact =
+  const ControlSourceSelector::Heard reply =
       selector.take("old:1", heartbeat_of(1, true, IncarnationId{7}, token), start + 1950ms);
-  cr_assert(last_contact.is_steering && last_contact.asked);
-  RetryQuota reserve;
-  reserve.take(7, valid, *last_contact.asked);
-  cr_expect(reserve.part(start + 1999ms) == 7 && reserve.part(start + 2001ms) == 0);
+  cr_assert(reply.is_steering && reply.asked);
+  RetryQuota quota;
+  quota.update(7, valid, *reply.asked);
+  cr_expect(quota.available(start + 1999ms) == 7 && quota.available(start + 2001ms) == 0);
 }
 
 // A leader of a real core is frozen for twenty seconds at each point of its beat; meanwhile follows
 // of a broker that reaches nobody else pile up, and the core elects another. Whatever it then gives
 // must be over before the new leader acts.
-Test(fence, a_frozen_leader_gives_nothing_that_lasts_into_the_next_one_s_time) {
+Test(term_fence, no_grant_of_a_frozen_leader_outlasts_the_next_leaders_takeover) {
   int given = 0;
   for (int point = 0; point < 24; ++point) {
     Cluster cluster(3);
@@ -140,18 +140,18 @@
     }
     cr_assert(led_since && cluster.at(cluster.leader()).raft->term() > old_term);
     LeaseTable leases(lease, settle), next(lease, settle);
-    RetryQuotaAllocator grants(56, valid, window), next_grants(56, valid, window);
-    leases.reset(frozen_at - 60s);
-    grants.lead(true, frozen_at - 60s);
-    next.reset(*led_since);
-    next_grants.lead(true, *led_since);
+    RetryQuotaAllocator allocator(56, valid, window), next_allocator(56, valid, window);
+    leases.start_term(frozen_at - 60s);
+    allocator.set_leading(true, frozen_at - 60s);
+    next.start_term(*led_since);
+    next_allocator.set_leading(true, *led_since);
     TimePoint until{};
-    RetryQuota reserve;
+    RetryQuota quota;
     // The first was read just before the freeze, all others after it: the clock stood still for the
     // process in between.
     std::size_t at = 0;
     TimePoint clock = frozen_at;
-    take_each(
+    handle_each(
         100,
         [&]() -> std::optional<std::size_t> {
           return at < asked.size() ? std::optional(at++) : std::nullopt;
@@ -161,16 +161,17 @@
           if (!frozen.is_leased(came))
             return;
           ++given;
-          leases.note("broker", IncarnationId{7}, 1, came);
+          leases.record("broker", IncarnationId{7}, 1, came);
           until = std::max(until, asked_at[which] + leases.grant("broker", IncarnationId{7}, came));
-          reserve.take(grants.grant("broker", IncarnationId{7}, 1, came), valid, asked_at[which]);
+          quota.update(allocator.grant("broker", IncarnationId{7}, 1, came), valid,
+                       asked_at[which]);
         });
     cr_expect(frozen.is_leader(), "it does not know better yet");
     for (TimePoint now = *led_since; now < *led_since + 30s; now += 50ms) {
-      if (!next.is_held(2, now))
+      if (!next.has_lease_before(2, now))
         cr_assert(now >= until, "point %d: the new leader acts while a hold lasts", point);
-      if (next_grants.grant("other", IncarnationId{8}, 1, now) > 0)
-        cr_assert(reserve.part(now) == 0, "point %d: tries are granted twice", point);
+      if (next_allocator.grant("other", IncarnationId{8}, 1, now) > 0)
+        cr_assert(quota.available(now) == 0, "point %d: tries are granted twice", point);
     }
   }
   cr_expect(given == 24, "what was read before the freeze is answered, nothing after it: %d",
@@ -179,25 +180,25 @@
 
 // Frames of a holder's former life come late, in between those of the new one: they end no hold of
 // its.
-Test(fence, a_late_word_of_a_former_life_ends_no_hold) {
+Test(term_fence, a_late_frame_of_a_former_incarnation_ends_no_lease) {
   LeaseTable leases(lease, settle);
-  leases.reset(start - 60s);
-  leases.note("pooler", IncarnationId{1}, 5, start);
+  leases.start_term(start - 60s);
+  leases.record("pooler", IncarnationId{1}, 5, start);
   leases.grant("pooler", IncarnationId{1}, start);
-  leases.note("pooler", IncarnationId{2}, 4, start + 100ms);
+  leases.record("pooler", IncarnationId{2}, 4, start + 100ms);
   cr_expect(leases.grant("pooler", IncarnationId{2}, start + 100ms) == lease);
-  leases.note("pooler", IncarnationId{1}, 5, start + 200ms);
+  leases.record("pooler", IncarnationId{1}, 5, start + 200ms);
   leases.grant("pooler", IncarnationId{1}, start + 200ms);
-  cr_expect(leases.is_held(5, start + 300ms), "the new life acts by table 4");
-  leases.note("pooler", IncarnationId{2}, 5, start + 400ms);
-  cr_expect(!leases.is_held(5, start + 500ms));
-  leases.note("other", IncarnationId{1}, 4, start);
+  cr_expect(leases.has_lease_before(5, start + 300ms), "the new life acts by table 4");
+  leases.record("pooler", IncarnationId{2}, 5, start + 400ms);
+  cr_expect(!leases.has_lease_before(5, start + 500ms));
+  leases.record("other", IncarnationId{1}, 4, start);
   leases.grant("other", IncarnationId{1}, start);
-  leases.note("other", IncarnationId{2}, 5, start + 500ms);
-  cr_expect(!leases.is_held(5, start + 600ms), "a life that is over holds nothing");
+  leases.record("other", IncarnationId{2}, 5, start + 500ms);
+  cr_expect(!leases.has_lease_before(5, start + 600ms), "a life that is over holds nothing");
 }
 
-Test(fence, the_lease_ends_when_it_says) {
+Test(term_fence, the_leader_lease_ends_at_lease_until) {
   Cluster cluster(3);
   cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
   cluster.run(1s);
--- a/tests/coordination/placement/shard_migration_scenario.h
+++ b/tests/coordination/placement/shard_migration_scenario.h
@@ -8,8 +8,8 @@
 #include <array>
 #include <set>
 
-#include "coordination/routing/bulkhead.h"
 #include "coordination/placement/shard_node_fixture.h"
+#include "coordination/routing/bulkhead.h"
 
 namespace saddlewing::tests {
 
@@ -426,7 +426,7 @@
     const Fate met = meet();
     if (met == Fate::lost || met == Fate::late)
       return;  // its answer, come late, would count from the asking: the same as none
-    moves->leases().note(name, broker.incarnation, broker.gate.confirmed(), now);
+    moves->leases().record(name, broker.incarnation, broker.gate.confirmed(), now);
     const Duration granted = moves->leases().grant(name, broker.incarnation, now),
                    lease = has_waits ? granted : Duration(1000);
     if (broker.gate.view()->revision < document.revision)
--- a/tests/coordination/routing/edge_latency_test.cpp
+++ b/tests/coordination/routing/edge_latency_test.cpp
@@ -165,7 +165,7 @@
     std::vector<Version> holds;
     for (const std::uint64_t revision : held)
       holds.push_back(Version{static_cast<std::int64_t>(revision)});
-    if (rollout->advance(holds, now) != VersionRollout::Turn::none)
+    if (rollout->advance(holds, now) != VersionRollout::Activation::none)
       for (Broker& broker : brokers)
         tell(broker);
     if (now - judged < 400ms)
--- a/tools/model_brokers.cpp
+++ b/tools/model_brokers.cpp
@@ -46,8 +46,8 @@
     if (!node->is_gone)
       send(broker.number, number,
            FollowPacket{broker.number, broker.incarnation, broker.last_token, broker.revision,
-                        broker.version_switch->held()});
-  broker.version_switch->turn(true, now);
+                        broker.version_switch->version_held()});
+  broker.version_switch->activate(true, now);
   push(now_ + follow_every, Event::Kind::follow, 0, broker.number, broker.incarnation, {});
 }
 
@@ -59,14 +59,14 @@
       broker.version_switch->serving() ? broker.version_switch->serving()->version : Version{};
   if (heartbeat.is_leader) {
     ledger_.force(heartbeat.in_force);
-    broker.version_switch->see_in_force(heartbeat.in_force);
+    broker.version_switch->observe_in_force(heartbeat.in_force);
   }
-  if (heartbeat.version > broker.version_switch->held()) {
+  if (heartbeat.version > broker.version_switch->version_held()) {
     auto configuration = std::make_shared<Configuration>();
     configuration->version = heartbeat.version;
-    broker.version_switch->take(std::move(configuration), now);
+    broker.version_switch->prepare(std::move(configuration), now);
   }
-  broker.version_switch->turn(true, now);
+  broker.version_switch->activate(true, now);
   const Version serving =
       broker.version_switch->serving() ? broker.version_switch->serving()->version : Version{};
   if (serving < before)
@@ -82,7 +82,7 @@
     broker.held_until = std::max(broker.held_until, from + heartbeat.lease);
   if (heartbeat.grant <= 0)
     return;
-  broker.reserve.take(heartbeat.grant, heartbeat.grant_valid, from);
+  broker.reserve.update(heartbeat.grant, heartbeat.grant_valid, from);
   // Whatever somebody may still use, or may have used within the last window.
   const Micros window = static_cast<Micros>(grant_window.count()) * 1000;
   std::erase_if(granted_, [&](const Granted& granted) {
@@ -91,7 +91,7 @@
   });
   const Micros until = global(broker, from + heartbeat.grant_valid);
   if (until > now_)
-    granted_.push_back({broker.number, broker.incarnation, broker.reserve.part(now), until});
+    granted_.push_back({broker.number, broker.incarnation, broker.reserve.available(now), until});
   double sum = 0;
   for (const Granted& granted : granted_)
     sum += granted.amount;
@@ -123,8 +123,8 @@
   if (node.raft->is_leader()) {
     heartbeat.grant =
         node.grants->grant(name, IncarnationId{follow.incarnation}, node.rows.size(), now);
-    heartbeat.grant_valid = node.grants->valid();
-    node.leases->note(name, IncarnationId{follow.incarnation}, follow.revision, now);
+    heartbeat.grant_valid = node.grants->grant_duration();
+    node.leases->record(name, IncarnationId{follow.incarnation}, follow.revision, now);
     if (node.is_holding && node.raft->is_leased(now))
       heartbeat.lease = node.leases->grant(name, IncarnationId{follow.incarnation}, now);
   }
@@ -146,13 +146,13 @@
   if (!raft.is_leased(now))
     return;
   if (!node.is_holding)
-    node.leases->reset(now);
+    node.leases->start_term(now);
   node.is_holding = true;
-  node.leases->forget(now);
+  node.leases->erase_expired(now);
   if (std::exchange(node.is_marking, false))
     node.raft->propose_document(tables_document, std::to_string(node.revision + 1), mark_token,
                                 now);
-  if (node.revision == 0 || node.leases->is_held(node.revision, now))
+  if (node.revision == 0 || node.leases->has_lease_before(node.revision, now))
     return;
   for (const auto& [number, broker] : brokers_)
     if (broker->is_up && broker->revision < node.revision && local(*broker) < broker->held_until)
@@ -174,7 +174,7 @@
   std::vector<Version> held;
   for (const auto& [number, row] : node.rows)
     held.push_back(row.held);
-  if (node.rollout->advance(held, now) == VersionRollout::Turn::none)
+  if (node.rollout->advance(held, now) == VersionRollout::Activation::none)
     return;
   if (node.raft->is_leader())
     ledger_.force(node.rollout->in_force());
--- a/tools/model_nodes.cpp
+++ b/tools/model_nodes.cpp
@@ -213,8 +213,8 @@
   route_calls(node);
   flush(node);
   update_tables(node);
-  node.grants->lead(node.raft->is_leader() && node.raft->is_confirmed(now),
-                    walk_.setup.planted == Planted::grant_twice ? now - 100s : now);
+  node.grants->set_leading(node.raft->is_leader() && node.raft->is_confirmed(now),
+                           walk_.setup.planted == Planted::grant_twice ? now - 100s : now);
   advance_rollout(node);
   flush(node);
   if (has_left(*node.raft))
