--- a/src/control_client/control_plane_client.cpp
+++ b/src/control_client/control_plane_client.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <tuple>
 
+#include "coordination/leases/handle_each.h"
 #include "state/compression.h"
 
 namespace saddlewing {
--- a/src/coordination/discovery/control_source_selector.h
+++ b/src/coordination/discovery/control_source_selector.h
@@ -6,6 +6,7 @@
 #include <string>
 #include <vector>
 
+#include "coordination/leases/request_clock.h"
 #include "coordination/leases/term_fence.h"
 #include "protocol/frames.h"
 #include "state/types.h"
--- a/src/registry/control_discovery.cpp
+++ b/src/registry/control_discovery.cpp
@@ -282,10 +282,7 @@
   const VersionRollout::Activation activation = rollout_.advance(held, now);
   if (activation == VersionRollout::Activation::none)
     return;
-  steps_.note(rollout_.in_force(),
-              activation == VersionRollout::Activation::acknowledged_by_all ? "held by all"
-                                                                            : "waited enough",
-              now);
+  steps_.note(rollout_.in_force(), name_of(activation), now);
   for (auto& [from, broker] : brokers_)
     send_heartbeat(broker, false, now);
 }
--- a/src/registry/control_edges.cpp
+++ b/src/registry/control_edges.cpp
@@ -65,10 +65,7 @@
     const VersionRollout::Activation activation = edge_rollout_.advance(held, now);
     if (activation != VersionRollout::Activation::none) {
       LOG(INFO) << "edges: view " << (edge_aggregator_.view()->revision & 0xffffffff)
-                << " in force, "
-                << (activation == VersionRollout::Activation::acknowledged_by_all
-                        ? "held by all"
-                        : "waited enough");
+                << " in force, " << name_of(activation);
       metrics().set(Metric::edges_revision,
                     static_cast<std::int64_t>(edge_aggregator_.view()->revision & 0xffffffff));
       for (auto& [from, broker] : brokers_)
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "coordination/leases/handle_each.h"
 #include "state/compression.h"
 #include "state/metrics.h"
 
--- a/tests/coordination/leases/retry_quota_test.cpp
+++ b/tests/coordination/leases/retry_quota_test.cpp
@@ -1,13 +1,15 @@
 #include <criterion/criterion.h>
 
 #include "coordination/leases/retry_quota.h"
+#include "coordination/leases/retry_quota_allocator.h"
 
 using namespace saddlewing;
 
 namespace {
 
 constexpr TimePoint start = TimePoint{} + 1000s;
-constexpr Duration valid{2000}, window{10000};
+constexpr Duration valid{2000};  // of a grant
+constexpr Duration window{10000};
 
 }  // namespace
 
@@ -21,16 +23,19 @@
   cr_expect(allocator.grant("a", IncarnationId{1}, 4, start + 24s) == 0);
 }
 
-// Brokers come, restart and vanish at every step; what may be held or was used within a window
-// never exceeds the whole.
+// Brokers join, restart and vanish at every step; what they may use, or may have used within a
+// window, never exceeds the total.
 Test(retry_quota, outstanding_grants_never_exceed_the_quota) {
   RetryQuotaAllocator allocator(56, valid, window);
   allocator.set_leading(true, start - 60s);
   std::map<std::pair<int, std::uint64_t>, std::pair<double, TimePoint>>
-      held;  // amount, last granted
-  std::uint64_t noise = 88172645463325252ull;
+      held;                                    // amount, last granted
+  std::uint64_t noise = 88172645463325252ull;  // xorshift
   const auto draw = [&] {
-    return noise ^= noise << 13, noise ^= noise >> 7, noise ^= noise << 17;
+    noise ^= noise << 13;
+    noise ^= noise >> 7;
+    noise ^= noise << 17;
+    return noise;
   };
   std::uint64_t incarnations[12] = {};
   for (TimePoint now = start; now < start + 200s; now += 400ms) {
--- a/tests/coordination/leases/term_fence_test.cpp
+++ b/tests/coordination/leases/term_fence_test.cpp
@@ -1,12 +1,16 @@
-// Nobody obeys an old leader: cut off, or frozen and thawed with everything that came meanwhile
-// still to be read.
+// Leaders of former terms are not obeyed, whether they were cut off, or suspended and resumed with
+// everything that arrived meanwhile still to be read.
 #include <criterion/criterion.h>
 
 #include <optional>
 
 #include "coordination/discovery/control_source_selector.h"
+#include "coordination/leases/handle_each.h"
 #include "coordination/leases/lease_table.h"
+#include "coordination/leases/request_clock.h"
 #include "coordination/leases/retry_quota.h"
+#include "coordination/leases/retry_quota_allocator.h"
+#include "coordination/leases/term_fence.h"
 #include "coordination/raft/raft_cluster_fixture.h"
 #include "coordination/rollout/version_rollout.h"
 
@@ -16,7 +20,10 @@
 namespace {
 
 constexpr TimePoint start = TimePoint{} + 1000s;
-constexpr Duration lease{3000}, settle{3800}, valid{2000}, window{10000};
+constexpr Duration lease{3000};   // of a holder on a replicated table
+constexpr Duration settle{3800};  // a new leader's takeover wait
+constexpr Duration valid{2000};   // of a retry grant
+constexpr Duration window{10000};
 
 ControlHeartbeat heartbeat_of(std::uint64_t term, bool is_leader, IncarnationId requester,
                               std::uint64_t token) {
@@ -34,8 +41,8 @@
   TermFence fence;
   cr_expect(!fence.admits(Term{0}, true), "without a term nobody leads");
   cr_expect(fence.admits(Term{3}, true) && !fence.admits(Term{3}, false));
-  cr_expect(!fence.admits(Term{4}, false), "a follower's word of a later term does not steer");
-  cr_expect(!fence.admits(Term{3}, true), "but it ends the earlier leader's");
+  cr_expect(!fence.admits(Term{4}, false), "a follower of a later term gives no orders");
+  cr_expect(!fence.admits(Term{3}, true), "but it ends the admission of the earlier leader");
   cr_expect(fence.admits(Term{4}, true) && fence.highest_term() == Term{4});
 }
 
@@ -45,12 +52,12 @@
                       second = clock.record_request(start + 400ms);
   cr_expect(clock.sent_at(IncarnationId{7}, first) == start &&
             clock.sent_at(IncarnationId{7}, second) == start + 400ms);
-  cr_expect(!clock.sent_at(IncarnationId{6}, first), "a former life counted its tokens anew");
+  cr_expect(!clock.sent_at(IncarnationId{6}, first),
+            "a former incarnation counted its tokens anew");
   cr_expect(!clock.sent_at(IncarnationId{7}, second + 1) && !clock.sent_at(IncarnationId{7}, 0));
   for (int count = 0; count < 200; ++count)
     clock.record_request(start + 1s);
-  cr_expect(!clock.sent_at(IncarnationId{7}, first),
-            "one that isn't known any more counts for nothing");
+  cr_expect(!clock.sent_at(IncarnationId{7}, first), "only the newest requests are remembered");
 }
 
 Test(term_fence, a_broker_that_knows_a_new_term_rejects_the_former_leader) {
@@ -60,16 +67,16 @@
   std::uint64_t token = selector.turn(start);
   cr_expect(selector.take("old:1", heartbeat_of(1, true, IncarnationId{7}, token), start + 10ms)
                 .is_steering);
-  // One more answer of the old leader stays in its buffers for twenty seconds.
+  // One more reply of the former leader stays in a buffer for twenty seconds.
   const ControlHeartbeat late = heartbeat_of(1, true, IncarnationId{7}, token);
   token = selector.turn(start + 20s);
   cr_expect(
       !selector.take("other:1", heartbeat_of(2, false, IncarnationId{7}, token), start + 20010ms)
            .is_steering,
-      "a follower tells of the new term");
+      "a follower announces the new term");
   const ControlSourceSelector::Heard thawed = selector.take("old:1", late, start + 20020ms);
   cr_expect(!thawed.is_steering && !thawed.asked);
-  // It also answers what it was asked just now, before it hears that it does not lead any more.
+  // It also answers the newest request, before it learns that it does not lead any more.
   cr_expect(!selector.take("old:1", heartbeat_of(1, true, IncarnationId{7}, token), start + 20030ms)
                  .is_steering);
   cr_expect(selector.take("new:1", heartbeat_of(2, true, IncarnationId{7}, token), start + 20040ms)
@@ -78,7 +85,7 @@
     cr_expect(selector.is_leader(source) == (address == "new:1"));
 }
 
-// Also one that hears nobody but the old leader: an answer is as old as its asking.
+// A broker that hears nobody but the former leader: a reply is as old as its request.
 Test(term_fence, a_reply_delayed_in_a_buffer_neither_confirms_nor_steers) {
   ControlSourceSelector selector({"here", "north", Duration(400), Duration(2000)}, IncarnationId{7},
                                  start);
@@ -90,7 +97,7 @@
   cr_expect(!reply.is_steering && !reply.asked && !selector.is_confirmed("old:1", start + 20s));
   cr_expect(!selector.take("old:1", heartbeat_of(1, true, IncarnationId{6}, token + 1), start + 20s)
                  .asked,
-            "meant for a former life");
+            "addressed to a former incarnation");
   cr_expect(selector.take("old:1", heartbeat_of(1, true, IncarnationId{7}, token + 1), start + 20s)
                 .asked == start + 20s);
 }
@@ -100,7 +107,7 @@
                                  start);
   selector.set_seeds({"old:1"}, start);
   const std::uint64_t token = selector.turn(start);
-  selector.turn(start + 1900ms);  // the newest asking is not what this one answers
+  selector.turn(start + 1900ms);  // the reply below does not answer this newest request
   const ControlSourceSelector::Heard reply =
       selector.take("old:1", heartbeat_of(1, true, IncarnationId{7}, token), start + 1950ms);
   cr_assert(reply.is_steering && reply.asked);
@@ -109,77 +116,101 @@
   cr_expect(quota.available(start + 1999ms) == 7 && quota.available(start + 2001ms) == 0);
 }
 
-// A leader of a real core is frozen for twenty seconds at each point of its beat; meanwhile follows
-// of a broker that reaches nobody else pile up, and the core elects another. Whatever it then gives
-// must be over before the new leader acts.
-Test(term_fence, no_grant_of_a_frozen_leader_outlasts_the_next_leaders_takeover) {
-  int given = 0;
-  for (int point = 0; point < 24; ++point) {
-    Cluster cluster(3);
+namespace {
+
+// A leader is suspended for twenty seconds at some point of its heartbeat interval. Meanwhile the
+// requests of a broker that reaches nobody else pile up at it, and the others elect a new leader.
+struct SuspendedLeader {
+  explicit SuspendedLeader(int point) {
     cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
     cluster.run(Duration(1000 + point * 13));
-    const std::string old = cluster.leader();
-    const Term old_term = cluster.at(old).raft->term();
-    const RaftNode frozen = *cluster.at(old).raft;
-    const TimePoint frozen_at = cluster.now();
-    ControlSourceSelector selector({"here", "north", Duration(400), Duration(2000)},
-                                   IncarnationId{7}, frozen_at);
-    selector.set_seeds({old}, frozen_at);
-    std::vector<std::uint64_t> asked;
-    std::vector<TimePoint> asked_at;
-    cluster.stop(old);
-    std::optional<TimePoint> led_since;
-    for (int turn = 0; turn < 50; ++turn) {
-      asked_at.push_back(cluster.now());
-      asked.push_back(selector.turn(cluster.now()));
+    address = cluster.leader();
+    term = cluster.at(address).raft->term();
+    suspended.emplace(*cluster.at(address).raft);
+    suspended_at = cluster.now();
+    cluster.stop(address);
+  }
+
+  // Sends fifty requests and notes when another leader was elected.
+  void pile_up_requests() {
+    for (int request = 0; request < 50; ++request) {
+      tokens.push_back(requests.record_request(cluster.now()));
       for (int step = 0; step < 80; ++step) {
         cluster.run(5ms);
-        if (!led_since && cluster.has_leader() && cluster.leader() != old)
-          led_since = cluster.now();
+        if (!elected_at && cluster.has_leader() && cluster.leader() != address)
+          elected_at = cluster.now();
       }
     }
-    cr_assert(led_since && cluster.at(cluster.leader()).raft->term() > old_term);
-    LeaseTable leases(lease, settle), next(lease, settle);
-    RetryQuotaAllocator allocator(56, valid, window), next_allocator(56, valid, window);
-    leases.start_term(frozen_at - 60s);
-    allocator.set_leading(true, frozen_at - 60s);
-    next.start_term(*led_since);
-    next_allocator.set_leading(true, *led_since);
-    TimePoint until{};
-    RetryQuota quota;
-    // The first was read just before the freeze, all others after it: the clock stood still for the
-    // process in between.
-    std::size_t at = 0;
-    TimePoint clock = frozen_at;
-    handle_each(
-        100,
-        [&]() -> std::optional<std::size_t> {
-          return at < asked.size() ? std::optional(at++) : std::nullopt;
-        },
-        [&] { return std::exchange(clock, cluster.now()); },
-        [&](std::size_t which, TimePoint came) {
-          if (!frozen.is_leased(came))
-            return;
-          ++given;
-          leases.record("broker", IncarnationId{7}, 1, came);
-          until = std::max(until, asked_at[which] + leases.grant("broker", IncarnationId{7}, came));
-          quota.update(allocator.grant("broker", IncarnationId{7}, 1, came), valid,
-                       asked_at[which]);
-        });
-    cr_expect(frozen.is_leader(), "it does not know better yet");
-    for (TimePoint now = *led_since; now < *led_since + 30s; now += 50ms) {
-      if (!next.has_lease_before(2, now))
-        cr_assert(now >= until, "point %d: the new leader acts while a hold lasts", point);
-      if (next_allocator.grant("other", IncarnationId{8}, 1, now) > 0)
-        cr_assert(quota.available(now) == 0, "point %d: tries are granted twice", point);
+    cr_assert(elected_at && cluster.at(cluster.leader()).raft->term() > term);
+  }
+
+  // The resumed leader answers them all. It read the clock for the first one just before it was
+  // suspended, for the others after it. Returns how many it granted a lease.
+  int answer_requests() {
+    LeaseTable leases(lease, settle);
+    RetryQuotaAllocator allocator(56, valid, window);
+    leases.start_term(suspended_at - 60s);
+    allocator.set_leading(true, suspended_at - 60s);
+    int granted = 0;
+    std::size_t next = 0;
+    TimePoint clock = suspended_at;
+    const auto receive = [&]() -> std::optional<std::size_t> {
+      return next < tokens.size() ? std::optional(next++) : std::nullopt;
+    };
+    const auto read_clock = [&] {
+      return std::exchange(clock, cluster.now());
+    };
+    const auto handle = [&](std::size_t which, TimePoint now) {
+      if (!suspended->is_leased(now))
+        return;
+      ++granted;
+      leases.record("broker", IncarnationId{7}, 1, now);
+      const Duration duration = leases.grant("broker", IncarnationId{7}, now);
+      const TimePoint requested_at = *requests.sent_at(IncarnationId{7}, tokens[which]);
+      lease_until = std::max(lease_until, requested_at + duration);
+      quota.update(allocator.grant("broker", IncarnationId{7}, 1, now), valid, requested_at);
+    };
+    handle_each(100, receive, read_clock, handle);
+    return granted;
+  }
+
+  Cluster cluster{3};
+  std::string address;
+  Term term;
+  std::optional<RaftNode> suspended;  // its state as of `suspended_at`
+  TimePoint suspended_at{};
+  RequestClock requests{IncarnationId{7}};  // of the broker
+  std::vector<std::uint64_t> tokens;        // of its requests, none of them answered yet
+  std::optional<TimePoint> elected_at;      // the new leader
+  TimePoint lease_until{};                  // as the broker counts it
+  RetryQuota quota;                         // of that broker
+};
+
+}  // namespace
+
+Test(term_fence, no_grant_of_a_frozen_leader_outlasts_the_next_leaders_takeover) {
+  int granted = 0;
+  for (int point = 0; point < 24; ++point) {
+    SuspendedLeader former(point);
+    former.pile_up_requests();
+    LeaseTable leases(lease, settle);
+    RetryQuotaAllocator allocator(56, valid, window);
+    leases.start_term(*former.elected_at);
+    allocator.set_leading(true, *former.elected_at);
+    granted += former.answer_requests();
+    cr_expect(former.suspended->is_leader(), "it does not know of the new term yet");
+    for (TimePoint now = *former.elected_at; now < *former.elected_at + 30s; now += 50ms) {
+      if (!leases.has_lease_before(2, now))
+        cr_assert(now >= former.lease_until, "point %d: the new leader acts during a former lease",
+                  point);
+      if (allocator.grant("other", IncarnationId{8}, 1, now) > 0)
+        cr_assert(former.quota.available(now) == 0, "point %d: retries are granted twice", point);
     }
   }
-  cr_expect(given == 24, "what was read before the freeze is answered, nothing after it: %d",
-            given);
+  cr_expect(granted == 24, "only what was read before the suspension is granted: %d", granted);
 }
 
-// Frames of a holder's former life come late, in between those of the new one: they end no hold of
-// its.
+// Frames of a holder's former incarnation arrive between those of its successor.
 Test(term_fence, a_late_frame_of_a_former_incarnation_ends_no_lease) {
   LeaseTable leases(lease, settle);
   leases.start_term(start - 60s);
@@ -189,13 +220,13 @@
   cr_expect(leases.grant("pooler", IncarnationId{2}, start + 100ms) == lease);
   leases.record("pooler", IncarnationId{1}, 5, start + 200ms);
   leases.grant("pooler", IncarnationId{1}, start + 200ms);
-  cr_expect(leases.has_lease_before(5, start + 300ms), "the new life acts by table 4");
+  cr_expect(leases.has_lease_before(5, start + 300ms), "the new incarnation acts by revision 4");
   leases.record("pooler", IncarnationId{2}, 5, start + 400ms);
   cr_expect(!leases.has_lease_before(5, start + 500ms));
   leases.record("other", IncarnationId{1}, 4, start);
   leases.grant("other", IncarnationId{1}, start);
   leases.record("other", IncarnationId{2}, 5, start + 500ms);
-  cr_expect(!leases.has_lease_before(5, start + 600ms), "a life that is over holds nothing");
+  cr_expect(!leases.has_lease_before(5, start + 600ms), "a former incarnation has no lease");
 }
 
 Test(term_fence, the_leader_lease_ends_at_lease_until) {
--- a/tests/coordination/rollout/version_rollout_test.cpp
+++ b/tests/coordination/rollout/version_rollout_test.cpp
@@ -1,6 +1,7 @@
 #include <criterion/criterion.h>
 
 #include "coordination/rollout/version_rollout.h"
+#include "coordination/rollout/version_switch.h"
 
 using namespace saddlewing;
 using Activation = VersionRollout::Activation;
--- a/tools/model_world.h
+++ b/tools/model_world.h
@@ -7,10 +7,12 @@
 #include <ostream>
 #include <variant>
 
-#include "coordination/raft/raft_node.h"
-#include "coordination/leases/retry_quota.h"
 #include "coordination/leases/lease_table.h"
+#include "coordination/leases/retry_quota.h"
+#include "coordination/leases/retry_quota_allocator.h"
+#include "coordination/raft/raft_node.h"
 #include "coordination/rollout/version_rollout.h"
+#include "coordination/rollout/version_switch.h"
 #include "model_checks.h"
 #include "model_walk.h"
 
