--- a/src/control_client/control_plane_client.cpp
+++ b/src/control_client/control_plane_client.cpp
@@ -120,20 +120,20 @@
 }
 
 void ControlPlaneClient::follow_all(TimePoint now) {
-  control_source_.turn(now);
+  control_source_.begin_requests(now);
   follow_due_ = now + (is_ready_ ? settings_.follow : eager_follow);
   for (Evidence& evidence : evidence_.take())
     seen_ = std::move(evidence);
   std::size_t position = 0;
   for (const auto& [address, source] : control_source_.sources())
-    if (control_source_.should_ask(address, ++position, is_ready_, now))
+    if (control_source_.should_request(address, ++position, is_ready_, now))
       follow_one(address, false);
   choose_feed(now);
-  endpoint_table_.forget_gone(now, registry_tombstone(settings_));
+  endpoint_table_.erase_tombstones(now, tombstone_duration(settings_));
 }
 
 void ControlPlaneClient::choose_feed(TimePoint now) {
-  if (const auto chosen = control_source_.choose(now))
+  if (const auto chosen = control_source_.select(now))
     follow_one(*chosen, false);
 }
 
@@ -166,33 +166,35 @@
 
 void ControlPlaneClient::handle_heartbeat(const FrameHead& head, Line& line,
                                           ControlHeartbeat& heartbeat, TimePoint now) {
-  const bool was_confirmed = control_source_.is_confirmed(control_source_.chosen(), now);
-  const ControlSourceSelector::Heard last_contact = control_source_.take(head.from, heartbeat, now);
-  if (last_contact.is_steering) {
+  const bool was_confirmed = control_source_.is_confirmed(control_source_.selected(), now);
+  const ControlSourceSelector::HeartbeatResult result =
+      control_source_.handle_heartbeat(head.from, heartbeat, now);
+  if (result.is_authoritative) {
     version_switch_.observe_in_force(heartbeat.in_force);
     if (lease_)
-      handle_leadership_lease(heartbeat, *last_contact.asked);
+      handle_leadership_lease(heartbeat, *result.request_sent_at);
     if (ring_)
-      take_ring(heartbeat, *last_contact.asked);
+      take_ring(heartbeat, *result.request_sent_at);
     if (edges_)
       take_edges(heartbeat);
     if (heartbeat.grant_valid) {
       reserve_.update(static_cast<double>(heartbeat.grant) / 1000,
                       Duration(static_cast<std::int64_t>(
                           std::min<std::uint64_t>(heartbeat.grant_valid, 60000))),
-                      *last_contact.asked);
+                      *result.request_sent_at);
       if (now - reserve_shown_ >= settings_.follow * 2) {  // well before the one shown runs out
         reserve_shown_ = now;
         has_news_ = true;
       }
     }
   }
-  if (last_contact.asked && sample_)
-    take_samples(line, head.incarnation, heartbeat, *last_contact.asked, now);
+  if (result.request_sent_at && sample_)
+    take_samples(line, head.incarnation, heartbeat, *result.request_sent_at, now);
   if (!is_ready_ || !was_confirmed)
     choose_feed(now);
-  if (last_contact.asked && heartbeat.is_confirmed) {
-    if (head.from == control_source_.chosen() && heartbeat.brokers_revision != brokers_revision_ &&
+  if (result.request_sent_at && heartbeat.is_confirmed) {
+    if (head.from == control_source_.selected() &&
+        heartbeat.brokers_revision != brokers_revision_ &&
         (heartbeat.brokers_revision == 0 || !heartbeat.seats.empty()))
       handle_broker_endpoints(heartbeat);
     if (heartbeat.brokers != brokers_) {
@@ -234,13 +236,13 @@
 // one heard last.
 void ControlPlaneClient::fetch(TimePoint now) {
   const std::pair<const std::string, ControlSourceSelector::Source>* best = nullptr;
-  const bool has_feed = is_ready_ && !control_source_.chosen().empty();
+  const bool has_feed = is_ready_ && !control_source_.selected().empty();
   const Version held = version_switch_.version_held();
   for (const auto& item : control_source_.sources()) {
     if (item.second.version <= held)
       continue;
     const auto rank = [&](const auto& one) {
-      return std::tuple(one.second.version, one.first == control_source_.chosen(),
+      return std::tuple(one.second.version, one.first == control_source_.selected(),
                         one.second.last_contact);
     };
     if (!best || rank(item) > rank(*best))
@@ -251,7 +253,7 @@
   if (fetched_ != best->second.version) {
     fetched_ = best->second.version;
     fetch_pause_ = fetch_again;
-    if (has_feed && best->first != control_source_.chosen()) {
+    if (has_feed && best->first != control_source_.selected()) {
       fetch_due_ = now + feed_grace;
       return;
     }
@@ -311,12 +313,13 @@
   const ConfigurationSnapshot& serving = version_switch_.serving();
   if (is_ready_ || !serving)
     return;
-  const ControlSourceSelector::Ready ready = control_source_.judge(serving->version, now);
-  if (ready == ControlSourceSelector::Ready::no)
+  const ControlSourceSelector::Readiness readiness =
+      control_source_.readiness(serving->version, now);
+  if (readiness == ControlSourceSelector::Readiness::no)
     return;
   is_ready_ = has_news_ = true;
   LOG(INFO) << "follow: ready by edition " << serving->version.value
-            << (ready == ControlSourceSelector::Ready::confirmed ? "" : ", unconfirmed");
+            << (readiness == ControlSourceSelector::Readiness::confirmed ? "" : ", unconfirmed");
 }
 
 void ControlPlaneClient::publish() {
@@ -328,13 +331,14 @@
   view->seats = seats_;
   view->reserve = reserve_;
   const TimePoint now = Clock::now();
-  for (const auto& [id, line] : endpoint_table_.lines()) {
-    if (line.entry.phase == Phase::gone)
+  for (const auto& [id, leased] : endpoint_table_.endpoints()) {
+    if (leased.endpoint.phase == Phase::gone)
       continue;
-    view->backends.push_back(line.entry);
+    view->backends.push_back(leased.endpoint);
     view->backends.back().warm_left =
-        line.warm_until > now ? static_cast<std::uint64_t>(elapsed(now, line.warm_until).count())
-                              : 0;
+        leased.warm_until > now
+            ? static_cast<std::uint64_t>(elapsed(now, leased.warm_until).count())
+            : 0;
   }
   show_(std::move(view));
 }
--- a/src/control_client/subscription.cpp
+++ b/src/control_client/subscription.cpp
@@ -20,7 +20,7 @@
   if (found == lines_.end() || known == control_source_.sources().end())
     return;
   const Line& line = found->second;
-  const bool is_feed = address == control_source_.chosen(),
+  const bool is_feed = address == control_source_.selected(),
              is_leader = control_source_.is_leader(known->second);
   SubscribeRequest follow;
   follow.version = version_switch_.version_held();
@@ -31,7 +31,7 @@
   follow.region = settings_.region;
   follow.is_ready = is_ready_ && !is_leaving_;
   follow.brokers_revision = brokers_revision_;
-  follow.token = control_source_.token();
+  follow.token = control_source_.last_token();
   follow.leadership_revision = confirmed_revision_;
   if (lease_)
     follow.zone = settings_.zone;
--- a/src/coordination/discovery/service_registry.cpp
+++ b/src/coordination/discovery/service_registry.cpp
@@ -9,219 +9,221 @@
 TimePoint after(TimePoint now, std::uint64_t milliseconds) {
   return now + Duration(static_cast<std::int64_t>(std::min<std::uint64_t>(milliseconds, 86400000)));
 }
-std::uint64_t left(TimePoint now, TimePoint until) {
+std::uint64_t remaining(TimePoint now, TimePoint until) {
   return until > now ? static_cast<std::uint64_t>(elapsed(now, until).count()) : 0;
 }
 
 }  // namespace
 
 bool EndpointTable::merge(const Endpoint& entry, TimePoint now) {
-  const auto [position, is_new] = lines_.try_emplace(entry.id);
-  Line& line = position->second;
+  const auto [position, is_new] = endpoints_.try_emplace(entry.id);
+  LeasedEndpoint& leased = position->second;
   if (is_new) {
-    line.entry = entry;
-    line.last_heartbeat = now;
-    line.warm_until = after(now, entry.warm_left);
-    line.lease_until = after(now, entry.lease_left);
+    leased.endpoint = entry;
+    leased.last_heartbeat = now;
+    leased.warm_until = after(now, entry.warm_left);
+    leased.lease_until = after(now, entry.lease_left);
     if (entry.phase == Phase::gone)
-      line.gone_at = now;
-    touch(line);
+      leased.gone_at = now;
+    mark_changed(leased);
     return true;
   }
   bool has_changed = false;
-  if (entry.phase > line.entry.phase) {
-    line.entry.phase = entry.phase;
+  if (entry.phase > leased.endpoint.phase) {
+    leased.endpoint.phase = entry.phase;
     if (entry.phase == Phase::gone)
-      line.gone_at = now;
+      leased.gone_at = now;
     has_changed = true;
   }
-  if (entry.stamp > line.entry.stamp) {
-    has_changed =
-        has_changed || entry.status != line.entry.status || entry.is_leader != line.entry.is_leader;
-    line.entry.is_leader = entry.is_leader;
-    line.entry.call_count = entry.call_count;
-    line.entry.status = entry.status;
-    line.entry.stamp = entry.stamp;
-    line.lease_until = after(now, entry.lease_left);
-  } else if (entry.stamp == line.entry.stamp) {
-    line.lease_until = std::max(line.lease_until, after(now, entry.lease_left));
+  if (entry.stamp > leased.endpoint.stamp) {
+    has_changed = has_changed || entry.status != leased.endpoint.status ||
+                  entry.is_leader != leased.endpoint.is_leader;
+    leased.endpoint.is_leader = entry.is_leader;
+    leased.endpoint.call_count = entry.call_count;
+    leased.endpoint.status = entry.status;
+    leased.endpoint.stamp = entry.stamp;
+    leased.lease_until = after(now, entry.lease_left);
+  } else if (entry.stamp == leased.endpoint.stamp) {
+    leased.lease_until = std::max(leased.lease_until, after(now, entry.lease_left));
   }
   if (has_changed)
-    touch(line);
+    mark_changed(leased);
   return has_changed;
 }
 
-void EndpointTable::forget_gone(TimePoint now, Duration tombstone) {
-  std::erase_if(lines_, [&](const auto& item) {
-    return item.second.entry.phase == Phase::gone && now - item.second.gone_at > tombstone;
+void EndpointTable::erase_tombstones(TimePoint now, Duration tombstone) {
+  std::erase_if(endpoints_, [&](const auto& item) {
+    return item.second.endpoint.phase == Phase::gone && now - item.second.gone_at > tombstone;
   });
 }
 
-Endpoint EndpointTable::travelling(const Line& line, TimePoint now) const {
-  Endpoint entry = line.entry;
-  entry.warm_left = left(now, line.warm_until);
-  entry.lease_left = left(now, line.lease_until);
+Endpoint EndpointTable::with_remaining_times(const LeasedEndpoint& leased, TimePoint now) const {
+  Endpoint entry = leased.endpoint;
+  entry.warm_left = remaining(now, leased.warm_until);
+  entry.lease_left = remaining(now, leased.lease_until);
   return entry;
 }
 
-void ServiceRegistry::observe(const std::vector<Endpoint>& listed, TimePoint now) {
-  std::set<std::string> seen;
+void ServiceRegistry::apply_listing(const std::vector<Endpoint>& listed, TimePoint now) {
+  std::set<std::string> listed_ids;
   for (const Endpoint& entry : listed) {
-    seen.insert(entry.id);
-    misses_.erase(entry.id);
-    const auto found = lines_.find(entry.id);
-    if (found == lines_.end()) {  // the first appearance is its register
+    listed_ids.insert(entry.id);
+    missed_listings_.erase(entry.id);
+    const auto found = endpoints_.find(entry.id);
+    if (found == endpoints_.end()) {  // the first appearance is its register
       Endpoint fresh = entry;
       fresh.status = entry.phase == Phase::ready ? Status::starting : Status::out_of_service;
       fresh.stamp = ++stamp_;
-      fresh.lease_left = static_cast<std::uint64_t>(options_.lease.count());
+      fresh.lease_left = static_cast<std::uint64_t>(options_.lease_duration.count());
       merge(fresh, now);
-    } else if (entry.phase > found->second.entry.phase) {  // its showing as emptying is its cancel
-      found->second.entry.phase = entry.phase;
+    } else if (entry.phase >
+               found->second.endpoint.phase) {  // its showing as emptying is its cancel
+      found->second.endpoint.phase = entry.phase;
       set_status(found->second, Status::out_of_service);
     }
   }
-  for (auto& [id, line] : lines_) {
-    if (line.entry.phase == Phase::gone || seen.contains(id))
+  for (auto& [id, leased] : endpoints_) {
+    if (leased.endpoint.phase == Phase::gone || listed_ids.contains(id))
       continue;
-    if (++misses_[id] < 2)
+    if (++missed_listings_[id] < 2)
       continue;
-    misses_.erase(id);
-    line.entry.phase = Phase::gone;
-    line.gone_at = now;
-    set_status(line, Status::out_of_service);
+    missed_listings_.erase(id);
+    leased.endpoint.phase = Phase::gone;
+    leased.gone_at = now;
+    set_status(leased, Status::out_of_service);
   }
   is_filled_ = true;
 }
 
 void ServiceRegistry::renew(const std::string& id, TimePoint now) {
-  const auto found = lines_.find(id);
-  if (found == lines_.end() || found->second.entry.phase != Phase::ready)
+  const auto found = endpoints_.find(id);
+  if (found == endpoints_.end() || found->second.endpoint.phase != Phase::ready)
     return;
-  Line& line = found->second;
-  line.lease_until = now + options_.lease;
-  renewed_.insert(id);
-  if (line.entry.status == Status::starting || line.entry.status == Status::down)
-    set_status(line, Status::up);
+  LeasedEndpoint& leased = found->second;
+  leased.lease_until = now + options_.lease_duration;
+  renewed_this_period_.insert(id);
+  if (leased.endpoint.status == Status::starting || leased.endpoint.status == Status::down)
+    set_status(leased, Status::up);
 }
 
-void ServiceRegistry::sign(const Endpoint& entry, TimePoint now) {
+void ServiceRegistry::handle_heartbeat(const Endpoint& entry, TimePoint now) {
   is_filled_ = true;
-  Endpoint told = entry;
-  told.status = told.phase == Phase::ready ? Status::up : Status::out_of_service;
-  told.stamp = told.call_count * 2;  // a sweep's DOWN stands between this call and the next
-  told.lease_left = static_cast<std::uint64_t>(options_.lease.count());
-  const auto found = lines_.find(entry.id);
-  if (found != lines_.end() && told.phase != Phase::gone &&
-      told.call_count <= found->second.entry.call_count)
+  Endpoint reported = entry;
+  reported.status = reported.phase == Phase::ready ? Status::up : Status::out_of_service;
+  reported.stamp = reported.call_count * 2;  // a sweep's DOWN stands between this call and the next
+  reported.lease_left = static_cast<std::uint64_t>(options_.lease_duration.count());
+  const auto found = endpoints_.find(entry.id);
+  if (found != endpoints_.end() && reported.phase != Phase::gone &&
+      reported.call_count <= found->second.endpoint.call_count)
     return;
-  merge(told, now);
-  Line& line = lines_[entry.id];
-  if (line.entry.phase != Phase::ready && line.entry.status != Status::out_of_service) {
-    line.entry.status = Status::out_of_service;
-    touch(line);
+  merge(reported, now);
+  LeasedEndpoint& leased = endpoints_[entry.id];
+  if (leased.endpoint.phase != Phase::ready && leased.endpoint.status != Status::out_of_service) {
+    leased.endpoint.status = Status::out_of_service;
+    mark_changed(leased);
   }
-  line.last_heartbeat = now;
-  renewed_.insert(entry.id);
-  signed_.insert(entry.id);
+  leased.last_heartbeat = now;
+  renewed_this_period_.insert(entry.id);
+  pending_renewals_.insert(entry.id);
 }
 
-void ServiceRegistry::renew_signed(const RenewedIds::Item& item, TimePoint now) {
-  const auto found = lines_.find(item.id);
-  if (found == lines_.end() || item.call_count <= found->second.entry.call_count)
+void ServiceRegistry::apply_renewal(const RenewedIds::Item& item, TimePoint now) {
+  const auto found = endpoints_.find(item.id);
+  if (found == endpoints_.end() || item.call_count <= found->second.endpoint.call_count)
     return;
-  Line& line = found->second;
+  LeasedEndpoint& leased = found->second;
   const TimePoint when =
       now - Duration(static_cast<std::int64_t>(std::min<std::uint64_t>(item.age, 60000)));
-  line.entry.call_count = item.call_count;
-  line.entry.stamp = std::max(line.entry.stamp, item.call_count * 2);
-  line.last_heartbeat = std::max(line.last_heartbeat, when);
-  line.lease_until = std::max(line.lease_until, when + options_.lease);
-  renewed_.insert(item.id);
-  const bool is_back = line.entry.phase == Phase::ready && line.entry.status == Status::down;
+  leased.endpoint.call_count = item.call_count;
+  leased.endpoint.stamp = std::max(leased.endpoint.stamp, item.call_count * 2);
+  leased.last_heartbeat = std::max(leased.last_heartbeat, when);
+  leased.lease_until = std::max(leased.lease_until, when + options_.lease_duration);
+  renewed_this_period_.insert(item.id);
+  const bool is_back =
+      leased.endpoint.phase == Phase::ready && leased.endpoint.status == Status::down;
   if (is_back)
-    line.entry.status = Status::up;
-  if (is_back || line.entry.is_leader != item.is_leader)
-    touch(line);
-  line.entry.is_leader =
-      item.is_leader;  // with its count: else a role told in between would be passed over
+    leased.endpoint.status = Status::up;
+  if (is_back || leased.endpoint.is_leader != item.is_leader)
+    mark_changed(leased);
+  leased.endpoint.is_leader =
+      item.is_leader;  // with its count: else a role reported in between would be passed over
 }
 
-RenewedIds ServiceRegistry::take_renewed(TimePoint now) {
+RenewedIds ServiceRegistry::take_renewals(TimePoint now) {
   RenewedIds renewed;
-  for (const std::string& id : std::exchange(signed_, {}))
-    if (const auto found = lines_.find(id);
-        found != lines_.end() && found->second.entry.phase == Phase::ready)
-      renewed.items.push_back({id, found->second.entry.call_count,
+  for (const std::string& id : std::exchange(pending_renewals_, {}))
+    if (const auto found = endpoints_.find(id);
+        found != endpoints_.end() && found->second.endpoint.phase == Phase::ready)
+      renewed.items.push_back({id, found->second.endpoint.call_count,
                                static_cast<std::uint64_t>(std::max<std::int64_t>(
                                    0, elapsed(found->second.last_heartbeat, now).count())),
-                               found->second.entry.is_leader});
+                               found->second.endpoint.is_leader});
   return renewed;
 }
 
-void ServiceRegistry::sweep(TimePoint now) {
-  if (now - period_start_ >= options_.renewal) {
-    renewed_before_ = std::move(renewed_);
-    renewed_.clear();
+void ServiceRegistry::run_eviction(TimePoint now) {
+  if (now - period_start_ >= options_.renewal_interval) {
+    renewed_last_period_ = std::move(renewed_this_period_);
+    renewed_this_period_.clear();
     period_start_ = now;
   }
-  if (now - last_sweep_ < options_.sweep)
+  if (now - last_eviction_ < options_.eviction_interval)
     return;
-  last_sweep_ = now;
+  last_eviction_ = now;
   std::size_t expected = 0, renewed = 0;
-  for (const auto& [id, line] : lines_) {
-    if (line.entry.phase != Phase::ready || line.entry.status != Status::up ||
-        !named_.contains(line.entry.service))
+  for (const auto& [id, leased] : endpoints_) {
+    if (leased.endpoint.phase != Phase::ready || leased.endpoint.status != Status::up ||
+        !services_.contains(leased.endpoint.service))
       continue;
     ++expected;
-    renewed += renewed_.contains(id) || renewed_before_.contains(id);
+    renewed += renewed_this_period_.contains(id) || renewed_last_period_.contains(id);
   }
   is_evicting_ =
-      !options_.is_preserving ||
+      !options_.has_self_preservation ||
       static_cast<double>(renewed) >= options_.renewal_threshold * static_cast<double>(expected);
   if (is_evicting_)
-    for (auto& [id, line] : lines_)
-      if (line.entry.phase == Phase::ready && line.entry.status == Status::up &&
-          named_.contains(line.entry.service) && line.lease_until <= now) {
-        if (options_.is_signing_up) {
-          line.entry.status = Status::down;
-          line.entry.stamp = line.entry.call_count * 2 + 1;
-          touch(line);
+    for (auto& [id, leased] : endpoints_)
+      if (leased.endpoint.phase == Phase::ready && leased.endpoint.status == Status::up &&
+          services_.contains(leased.endpoint.service) && leased.lease_until <= now) {
+        if (options_.has_self_registration) {
+          leased.endpoint.status = Status::down;
+          leased.endpoint.stamp = leased.endpoint.call_count * 2 + 1;
+          mark_changed(leased);
         } else {
-          set_status(line, Status::down);
+          set_status(leased, Status::down);
         }
-        ++evicted_;
+        ++eviction_count_;
       }
-  forget_gone(now, options_.tombstone);
+  erase_tombstones(now, options_.tombstone);
 }
 
-std::vector<ProbeTarget> ServiceRegistry::targets() const {
+std::vector<ProbeTarget> ServiceRegistry::probe_targets() const {
   std::vector<ProbeTarget> targets;
-  for (const auto& [id, line] : lines_)
-    if (line.entry.phase == Phase::ready && named_.contains(line.entry.service))
-      targets.push_back(
-          {id, line.entry.address, line.entry.service, line.entry.status != Status::up});
+  for (const auto& [id, leased] : endpoints_)
+    if (leased.endpoint.phase == Phase::ready && services_.contains(leased.endpoint.service))
+      targets.push_back({id, leased.endpoint.address, leased.endpoint.service,
+                         leased.endpoint.status != Status::up});
   return targets;
 }
 
-EndpointList ServiceRegistry::since(std::uint64_t revision, TimePoint now) const {
-  EndpointList endpoints;
-  endpoints.is_complete = revision == 0;
-  endpoints.is_filled = is_filled_;
-  endpoints.base = revision;
-  endpoints.revision = revision_;
-  for (const auto& [id, line] : lines_)
-    if (line.revision > revision)
-      endpoints.entries.push_back(travelling(line, now));
-  return endpoints;
+EndpointList ServiceRegistry::changes_since(std::uint64_t revision, TimePoint now) const {
+  EndpointList list;
+  list.is_complete = revision == 0;
+  list.is_filled = is_filled_;
+  list.base = revision;
+  list.revision = revision_;
+  for (const auto& [id, leased] : endpoints_)
+    if (leased.revision > revision)
+      list.entries.push_back(with_remaining_times(leased, now));
+  return list;
 }
 
-void ServiceRegistry::take(const EndpointList& endpoints, TimePoint now) {
-  for (const Endpoint& entry : endpoints.entries) {
+void ServiceRegistry::apply_replica(const EndpointList& list, TimePoint now) {
+  for (const Endpoint& entry : list.entries) {
     merge(entry, now);
     stamp_ = std::max(stamp_, entry.stamp);
   }
-  if (endpoints.is_complete && endpoints.is_filled)
+  if (list.is_complete && list.is_filled)
     is_filled_ = true;
 }
 
--- a/src/coordination/discovery/service_registry.h
+++ b/src/coordination/discovery/service_registry.h
@@ -15,17 +15,17 @@
 namespace saddlewing {
 
 struct ServiceRegistryOptions {
-  Duration renewal{2000}, lease{6000}, sweep{1000};
+  Duration renewal_interval{2000}, lease_duration{6000}, eviction_interval{1000};
   double renewal_threshold = 0.85;
-  bool is_preserving = true;
-  bool is_signing_up =
+  bool has_self_preservation = true;
+  bool has_self_registration =
       false;  // backends tell of themselves; stamps then follow their own count of calls
   Duration tombstone{60000};
 };
 
 // How long a backend that is gone is remembered: well beyond the wait before its address is used
 // again.
-inline Duration registry_tombstone(const NodeSettings& settings) {
+inline Duration tombstone_duration(const NodeSettings& settings) {
   return std::max(Duration(60000), settings.reuse_wait * 10);
 }
 
@@ -37,29 +37,29 @@
 // What a broker keeps of the registries: the same lattice, without holds of its own.
 class EndpointTable {
  public:
-  struct Line {
-    Endpoint entry;
+  struct LeasedEndpoint {
+    Endpoint endpoint;
     TimePoint warm_until{}, lease_until{}, gone_at{};
-    TimePoint last_heartbeat{};  // when it last told of itself, to this registry or to another
+    TimePoint last_heartbeat{};  // when it last reported of itself, to this registry or to another
     std::uint64_t revision = 0;  // of the book when the line last changed
   };
   // Merges one entry: phases only rise, the greater stamp decides status and hold. True if
   // something changed.
   bool merge(const Endpoint& entry, TimePoint now);
-  void forget_gone(TimePoint now, Duration tombstone);
-  const std::map<std::string, Line>& lines() const {
-    return lines_;
+  void erase_tombstones(TimePoint now, Duration tombstone);
+  const std::map<std::string, LeasedEndpoint>& endpoints() const {
+    return endpoints_;
   }
   std::uint64_t revision() const {
     return revision_;
   }
 
  protected:
-  Endpoint travelling(const Line& line, TimePoint now) const;
-  void touch(Line& line) {
-    line.revision = ++revision_;
+  Endpoint with_remaining_times(const LeasedEndpoint& leased, TimePoint now) const;
+  void mark_changed(LeasedEndpoint& leased) {
+    leased.revision = ++revision_;
   }
-  std::map<std::string, Line> lines_;
+  std::map<std::string, LeasedEndpoint> endpoints_;
   std::uint64_t revision_ = 0;
 };
 
@@ -70,22 +70,22 @@
 
   // A complete listing of the platform. What it lacks twice running is gone; an incomplete one
   // never comes here.
-  void observe(const std::vector<Endpoint>& listed, TimePoint now);
+  void apply_listing(const std::vector<Endpoint>& listed, TimePoint now);
   // A probe's reply is a renewal: the first one makes a starting backend UP.
   void renew(const std::string& id, TimePoint now);
   // A backend's own call: its register, its renewal, or with `emptying` or `gone` its cancel. Late
   // calls change nothing.
-  void sign(const Endpoint& entry, TimePoint now);
-  void renew_signed(const RenewedIds::Item& item, TimePoint now);
-  RenewedIds take_renewed(TimePoint now);  // signed here since the last time
-  void sweep(TimePoint now);
+  void handle_heartbeat(const Endpoint& entry, TimePoint now);
+  void apply_renewal(const RenewedIds::Item& item, TimePoint now);
+  RenewedIds take_renewals(TimePoint now);  // signed here since the last time
+  void run_eviction(TimePoint now);
   // Services whose backends are probed.
-  void name_services(std::set<std::string> services) {
-    named_ = std::move(services);
+  void set_services(std::set<std::string> services) {
+    services_ = std::move(services);
   }
-  std::vector<ProbeTarget> targets() const;
-  EndpointList since(std::uint64_t revision, TimePoint now) const;
-  void take(const EndpointList& endpoints, TimePoint now);
+  std::vector<ProbeTarget> probe_targets() const;
+  EndpointList changes_since(std::uint64_t revision, TimePoint now) const;
+  void apply_replica(const EndpointList& list, TimePoint now);
 
   void set_stamp_base(std::uint64_t base) {
     stamp_ = std::max(stamp_, base);
@@ -96,27 +96,28 @@
   bool is_evicting() const {
     return is_evicting_;
   }
-  std::size_t evicted() const {
-    return evicted_;
+  std::size_t eviction_count() const {
+    return eviction_count_;
   }
 
  private:
-  void set_status(Line& line, Status status) {
-    line.entry.status = status;
-    line.entry.stamp = ++stamp_;
-    touch(line);
+  void set_status(LeasedEndpoint& leased, Status status) {
+    leased.endpoint.status = status;
+    leased.endpoint.stamp = ++stamp_;
+    mark_changed(leased);
   }
 
   ServiceRegistryOptions options_;
-  std::set<std::string> named_;
-  std::unordered_map<std::string, int> misses_;  // consecutive listings that lacked a backend
+  std::set<std::string> services_;
+  std::unordered_map<std::string, int>
+      missed_listings_;  // consecutive listings that lacked a backend
   std::uint64_t stamp_ = 0;
   bool is_filled_ = false, is_evicting_ = true;
-  std::size_t evicted_ = 0;
-  TimePoint last_sweep_{};
+  std::size_t eviction_count_ = 0;
+  TimePoint last_eviction_{};
   // Renewals of the running and of the last period, against what the holds lead to expect.
   TimePoint period_start_{};
-  std::set<std::string> renewed_, renewed_before_, signed_;
+  std::set<std::string> renewed_this_period_, renewed_last_period_, pending_renewals_;
 };
 
 }  // namespace saddlewing
--- a/src/registry/control_databases.cpp
+++ b/src/registry/control_databases.cpp
@@ -29,7 +29,7 @@
   if (!settings_.is_signing_up || (is_cancel && !raft_.is_confirmed(now)))
     return operator_api_->tell({call.token, false, {}});
   const std::string zone = call.entry.zone;
-  registry_.sign(call.entry, now);
+  registry_.handle_heartbeat(call.entry, now);
   if (is_cancel)
     registry_due_ = now;  // the others hear of it at once
   std::string body = "{}\n";
@@ -50,7 +50,7 @@
     return;
   if (now >= renewed_due_) {
     renewed_due_ = now + renewed_every;
-    if (const RenewedIds renewed = registry_.take_renewed(now); !renewed.items.empty()) {
+    if (const RenewedIds renewed = registry_.take_renewals(now); !renewed.items.empty()) {
       const std::string bytes = encode(head(), renewed);
       for (const std::string& address : raft_.known_addresses())
         send_to(address, bytes);
@@ -80,17 +80,17 @@
   for (const Service& service : configuration_->services)
     services[service.name] = service.sync;
   std::vector<DatabaseEndpoint> seats;
-  for (const auto& [id, line] : registry_.lines())
-    if (line.entry.phase != Phase::gone)
-      seats.push_back({id, line.entry.service, line.entry.zone, line.entry.is_leader,
-                       line.entry.phase == Phase::ready, line.last_heartbeat});
+  for (const auto& [id, leased] : registry_.endpoints())
+    if (leased.endpoint.phase != Phase::gone)
+      seats.push_back({id, leased.endpoint.service, leased.endpoint.zone, leased.endpoint.is_leader,
+                       leased.endpoint.phase == Phase::ready, leased.last_heartbeat});
   failover_.tick(true, leaderships_, services, seats, now);
   Failover::Output output = failover_.take();
   for (const std::string& news : output.news)
     LOG(INFO) << "leads: " << news;
   const auto address_of = [&](const std::string& id) {
-    const auto line = registry_.lines().find(id);
-    return line == registry_.lines().end() ? Endpoint{} : line->second.entry;
+    const auto line = registry_.endpoints().find(id);
+    return line == registry_.endpoints().end() ? Endpoint{} : line->second.endpoint;
   };
   for (const Failover::Order& order : output.orders) {
     const Endpoint entry = address_of(order.id);
--- a/src/registry/control_discovery.cpp
+++ b/src/registry/control_discovery.cpp
@@ -41,7 +41,7 @@
   else
     peer.received_revision = endpoints.revision,
     peer.is_missing = peer.is_missing && !endpoints.is_complete;
-  registry_.take(endpoints, now);
+  registry_.apply_replica(endpoints, now);
 }
 
 // The leader observes the platform and the backends; others do so only while nobody is heard to.
@@ -60,23 +60,23 @@
     LOG(INFO) << "registry: observes the platform";
   }
   std::int64_t up = 0;
-  for (const auto& [id, line] : registry_.lines())
-    up += line.entry.status == Status::up;
+  for (const auto& [id, leased] : registry_.endpoints())
+    up += leased.endpoint.status == Status::up;
   metrics().set(Metric::backends_up, up);
   metrics().set(Metric::brokers, static_cast<std::int64_t>(brokers_.size()));
-  metrics().set(Metric::evictions, static_cast<std::int64_t>(registry_.evicted()));
+  metrics().set(Metric::evictions, static_cast<std::int64_t>(registry_.eviction_count()));
   metrics().set(Metric::leaderships, raft_.is_leader());
   const bool has_turned = should_observe != is_observing_;
   is_observing_ = should_observe;
   if (is_observing_) {
     const bool was_evicting = registry_.is_evicting();
-    registry_.sweep(now);
+    registry_.run_eviction(now);
     if (was_evicting != registry_.is_evicting())
       LOG(WARNING) << "registry: "
                    << (registry_.is_evicting() ? "evicts again"
                                                : "preserves itself, too few renewals");
   } else {
-    registry_.forget_gone(now, registry_tombstone(settings_));
+    registry_.erase_tombstones(now, tombstone_duration(settings_));
   }
   if (has_turned || ordered_revision_ != registry_.revision()) {
     ordered_revision_ = registry_.revision();
@@ -87,7 +87,7 @@
       std::map<std::string, std::string> paths;
       for (const Service& service : configuration_->services)
         paths[service.name] = service.health_path;
-      for (const ProbeTarget& target : registry_.targets())
+      for (const ProbeTarget& target : registry_.probe_targets())
         if (const auto found = paths.find(target.service); found != paths.end())
           order->targets.push_back({target.id, target.address, found->second, target.is_awaited});
     }
@@ -102,7 +102,7 @@
     if (!is_complete && !has_news && !is_sign_due && !peer.is_missing)
       continue;
     peer.sent = now;
-    EndpointList endpoints = registry_.since(is_complete ? 0 : peer.sent_revision, now);
+    EndpointList endpoints = registry_.changes_since(is_complete ? 0 : peer.sent_revision, now);
     endpoints.is_observed = is_observing_;
     endpoints.zone = settings_.zone;
     endpoints.wants_whole = peer.is_missing;
@@ -218,7 +218,7 @@
     frame_server_.send(routing_id,
                        encode(head(), ConfigurationPayload{configuration_->version, packed_}));
   if (follow.wants_endpoints && broker.sent_revision == 0 && registry_.revision() == 0)
-    frame_server_.send(routing_id, encode(head(), registry_.since(0, now)));
+    frame_server_.send(routing_id, encode(head(), registry_.changes_since(0, now)));
 }
 
 // Changes go out at once; whoever missed some says so with its next follow.
@@ -240,7 +240,7 @@
     if (delta_.base != broker.sent_revision || delta_.revision != registry_.revision() ||
         delta_.bytes.empty())
       delta_ = {broker.sent_revision, registry_.revision(),
-                encode(head(), registry_.since(broker.sent_revision, now))};
+                encode(head(), registry_.changes_since(broker.sent_revision, now))};
     if (frame_server_.send(broker.routing_id, delta_.bytes))
       broker.sent_revision = registry_.revision();
     else
--- a/src/registry/control_edges.cpp
+++ b/src/registry/control_edges.cpp
@@ -88,10 +88,10 @@
     edge_aggregator_.add(region, counts, now);
   std::map<EdgeLatencyAggregator::Edge, double> capacity;
   std::map<std::string, double> helpers;
-  for (const auto& [id, line] : registry_.lines())
-    if (line.entry.phase == Phase::ready && line.entry.status == Status::up)
-      capacity[{line.entry.service, line.entry.zone}] +=
-          static_cast<double>(std::max<std::uint64_t>(1, line.entry.capacity));
+  for (const auto& [id, leased] : registry_.endpoints())
+    if (leased.endpoint.phase == Phase::ready && leased.endpoint.status == Status::up)
+      capacity[{leased.endpoint.service, leased.endpoint.zone}] +=
+          static_cast<double>(std::max<std::uint64_t>(1, leased.endpoint.capacity));
   constexpr double helps_at_once = 8;
   for (const auto& [from, broker] : brokers_)
     if (broker.is_ready)
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -38,13 +38,13 @@
 
 ServiceRegistryOptions service_registry_options(const NodeSettings& settings) {
   ServiceRegistryOptions options;
-  options.renewal = settings.renewal;
-  options.lease = settings.lease;
-  options.sweep = settings.sweep;
+  options.renewal_interval = settings.renewal;
+  options.lease_duration = settings.lease;
+  options.eviction_interval = settings.sweep;
   options.renewal_threshold = settings.renewal_threshold;
-  options.is_preserving = settings.is_preserving;
-  options.tombstone = registry_tombstone(settings);
-  options.is_signing_up = settings.is_signing_up;
+  options.has_self_preservation = settings.is_preserving;
+  options.tombstone = tombstone_duration(settings);
+  options.has_self_registration = settings.is_signing_up;
   return options;
 }
 
@@ -168,7 +168,7 @@
     raft_.finish_save(saved->serial, saved->is_saved, now);
   } else if (const auto* listed = std::get_if<Listed>(&event)) {
     if (is_observing_)
-      registry_.observe(listed->entries, now);
+      registry_.apply_listing(listed->entries, now);
   } else if (const auto* renewed = std::get_if<Renewed>(&event)) {
     if (is_observing_ && !renewed->id.empty())
       registry_.renew(renewed->id, now);
@@ -248,7 +248,7 @@
         RenewedIds renewed;
         if ((is_good = decode(reader, renewed)))
           for (const RenewedIds::Item& item : renewed.items)
-            registry_.renew_signed(item, now);
+            registry_.apply_renewal(item, now);
         break;
       }
       case FrameKind::trace:
@@ -377,7 +377,7 @@
   std::set<std::string> services;
   for (const Service& service : configuration_->services)
     services.insert(service.name);
-  registry_.name_services(std::move(services));
+  registry_.set_services(std::move(services));
   ordered_revision_ = ~0ull;
   for (auto& [from, broker] : brokers_)
     send_heartbeat(broker, false, now);
--- a/src/registry/control_ring.cpp
+++ b/src/registry/control_ring.cpp
@@ -154,9 +154,9 @@
     return {
         false, {}, "a move needs a virtual node, or `account` and its name, and a receiver", {}};
   std::set<std::string> serving;
-  for (const auto& [id, line] : registry_.lines())
-    if (line.entry.phase == Phase::ready && line.entry.status == Status::up)
-      serving.insert(line.entry.service);
+  for (const auto& [id, leased] : registry_.endpoints())
+    if (leased.endpoint.phase == Phase::ready && leased.endpoint.status == Status::up)
+      serving.insert(leased.endpoint.service);
   // What it takes off its node, against what it costs.
   double benefit = 0;
   const std::size_t taker = ring_.index_of(to);
@@ -322,10 +322,10 @@
     value["mb_per_s"] = order.mb_s;
     value["placed"] = order.is_placed;
     const auto address_of = [&](const std::string& node) {
-      for (const auto& [id, line] : registry_.lines())
-        if (line.entry.service == node && line.entry.phase == Phase::ready &&
-            line.entry.status == Status::up)
-          return line.entry;
+      for (const auto& [id, leased] : registry_.endpoints())
+        if (leased.endpoint.service == node && leased.endpoint.phase == Phase::ready &&
+            leased.endpoint.status == Status::up)
+          return leased.endpoint;
       return Endpoint{};
     };
     value["other"] = address_of(order.other).address;
--- a/tests/coordination/discovery/control_source_selector_test.cpp
+++ b/tests/coordination/discovery/control_source_selector_test.cpp
@@ -13,52 +13,53 @@
 namespace {
 
 constexpr TimePoint start = TimePoint{} + 1000s;
-constexpr Duration follow{400}, eager{50}, unconfirmed_wait{2000};
+constexpr Duration request_interval{400}, startup_request_interval{50}, unconfirmed_wait{2000};
 constexpr IncarnationId incarnation{7};
 
-struct ServiceRegistry {
+struct SimulatedRegistry {
   bool is_confirmed = true, is_up = true, is_leader = false;
-  bool hears = true, is_reachable = true;  // the ways from the broker and to it
+  bool is_receiving = true, is_reachable = true;  // the ways from the broker and to it
   std::string zone = "there", region = "south";
   std::vector<std::string> registries;
   Version version{5};
-  std::uint64_t token = 0;  // of the last follow that came
+  std::uint64_t token = 0;  // of the last request that arrived
 };
 
 struct World {
-  std::map<std::string, ServiceRegistry> registries;
-  ControlSourceSelector selector{{"here", "north", follow, unconfirmed_wait}, incarnation, start};
+  std::map<std::string, SimulatedRegistry> registries;
+  ControlSourceSelector selector{
+      {"here", "north", request_interval, unconfirmed_wait}, incarnation, start};
   TimePoint now = start, due = start;
-  Duration way{40};
+  Duration latency{40};
   bool is_ready = false;
-  ControlSourceSelector::Ready how = ControlSourceSelector::Ready::no;
+  ControlSourceSelector::Readiness readiness = ControlSourceSelector::Readiness::no;
   Version serving;
-  std::set<std::string> asked;  // ever
-  std::string last_feed;
+  std::set<std::string> requested;  // ever
+  std::string last_selected;
   int changes = 0;
-  struct Flying {
+  struct FrameInFlight {
     TimePoint due;
     std::string address;
     std::uint64_t token;
     bool is_answer;
     ControlHeartbeat heartbeat;
   };
-  std::vector<Flying> flying;
+  std::vector<FrameInFlight> in_flight;
 
-  void ask(const std::string& address) {
-    asked.insert(address);
+  void request(const std::string& address) {
+    requested.insert(address);
     const auto found = registries.find(address);
-    if (found != registries.end() && found->second.is_up && found->second.hears)
-      flying.push_back({now + way, address, selector.token(), false, {}});
+    if (found != registries.end() && found->second.is_up && found->second.is_receiving)
+      in_flight.push_back({now + latency, address, selector.last_token(), false, {}});
   }
-  void choose() {
-    if (const auto chosen = selector.choose(now))
-      ask(*chosen);
-    if (selector.chosen() != last_feed)
-      ++changes, last_feed = selector.chosen();
+  void select() {
+    if (const auto chosen = selector.select(now))
+      request(*chosen);
+    if (selector.selected() != last_selected)
+      ++changes, last_selected = selector.selected();
   }
-  void tell(const std::string& address) {
-    ServiceRegistry& registry = registries[address];
+  void answer(const std::string& address) {
+    SimulatedRegistry& registry = registries[address];
     if (!registry.is_reachable)
       return;
     ControlHeartbeat heartbeat;
@@ -72,52 +73,52 @@
     heartbeat.zone = registry.zone;
     heartbeat.region = registry.region;
     heartbeat.registries = registry.registries;
-    flying.push_back({now + way, address, 0, true, heartbeat});
+    in_flight.push_back({now + latency, address, 0, true, heartbeat});
   }
-  void run(Duration span) {
-    for (const TimePoint end = now + span; now < end; now += 10ms) {
-      std::vector<Flying> came;
-      std::copy_if(flying.begin(), flying.end(), std::back_inserter(came),
-                   [&](const Flying& one) { return one.due <= now; });
-      std::erase_if(flying, [&](const Flying& one) { return one.due <= now; });
-      for (const Flying& one : came) {
+  void run(Duration duration) {
+    for (const TimePoint end = now + duration; now < end; now += 10ms) {
+      std::vector<FrameInFlight> arrived;
+      std::copy_if(in_flight.begin(), in_flight.end(), std::back_inserter(arrived),
+                   [&](const FrameInFlight& one) { return one.due <= now; });
+      std::erase_if(in_flight, [&](const FrameInFlight& one) { return one.due <= now; });
+      for (const FrameInFlight& one : arrived) {
         if (!registries[one.address].is_up)
           continue;
         if (!one.is_answer) {
           registries[one.address].token = one.token;
-          tell(one.address);
+          answer(one.address);
           continue;
         }
-        const bool was_confirmed = selector.is_confirmed(selector.chosen(), now);
-        selector.take(one.address, one.heartbeat, now);
+        const bool was_confirmed = selector.is_confirmed(selector.selected(), now);
+        selector.handle_heartbeat(one.address, one.heartbeat, now);
         selector.handle_endpoints(one.address);
         serving = std::max(serving, one.heartbeat.version);
         if (!is_ready || !was_confirmed)
-          choose();
+          select();
       }
       if (now >= due) {
-        selector.turn(now);
-        due = now + (is_ready ? follow : eager);
+        selector.begin_requests(now);
+        due = now + (is_ready ? request_interval : startup_request_interval);
         std::size_t position = 0;
         std::vector<std::string> to;
         for (const auto& [address, source] : selector.sources())
-          if (selector.should_ask(address, ++position, is_ready, now))
+          if (selector.should_request(address, ++position, is_ready, now))
             to.push_back(address);
         for (const std::string& address : to)
-          ask(address);
-        choose();
+          request(address);
+        select();
       }
       if (!is_ready && serving.value)
-        if ((how = selector.judge(serving, now)) != ControlSourceSelector::Ready::no)
+        if ((readiness = selector.readiness(serving, now)) != ControlSourceSelector::Readiness::no)
           is_ready = true;
     }
   }
   // How long until the feed is one with a majority behind it.
   Duration until_confirmed(Duration limit) {
     const TimePoint began = now;
-    while (now - began < limit &&
-           !(registries.contains(selector.chosen()) && registries[selector.chosen()].is_confirmed &&
-             selector.is_confirmed(selector.chosen(), now)))
+    while (now - began < limit && !(registries.contains(selector.selected()) &&
+                                    registries[selector.selected()].is_confirmed &&
+                                    selector.is_confirmed(selector.selected(), now)))
       run(10ms);
     return elapsed(began, now);
   }
@@ -125,7 +126,7 @@
 
 const std::vector<std::string> all{"a:1", "b:1", "c:1"};
 
-World three() {
+World world_of_three() {
   World world;
   for (const std::string& address : all)
     world.registries[address].registries = all;
@@ -136,53 +137,54 @@
 
 }  // namespace
 
-Test(selector, the_nearest_confirmed_registry_feeds) {
-  World world = three();
+Test(control_source_selector, selects_the_nearest_confirmed_registry) {
+  World world = world_of_three();
   world.selector.set_seeds({"b:1"}, start);
   world.run(3s);
-  cr_expect(
-      world.how == ControlSourceSelector::Ready::confirmed && world.selector.chosen() == "a:1",
-      "it learnt of the near one from another");
+  cr_expect(world.readiness == ControlSourceSelector::Readiness::confirmed &&
+                world.selector.selected() == "a:1",
+            "it learnt of the near one from another");
   const int before = world.changes;
   world.run(20s);
   cr_expect(world.changes == before, "and stays with it");
 }
 
-Test(selector, a_feed_cut_off_from_the_core_is_left_at_once) {
+Test(control_source_selector, a_source_that_lost_its_majority_is_left_at_once) {
   for (int point = 0; point < 40; ++point) {
-    World world = three();
+    World world = world_of_three();
     world.selector.set_seeds(all, start);
     world.run(3s + Duration(point * 20));
-    cr_assert(world.selector.chosen() == "a:1");
+    cr_assert(world.selector.selected() == "a:1");
     world.registries["a:1"].is_confirmed = false;  // it has noticed
-    cr_expect(world.until_confirmed(5s) <= follow + world.way * 4, "point %d", point);
+    cr_expect(world.until_confirmed(5s) <= request_interval + world.latency * 4, "point %d", point);
   }
 }
 
 // Its beats go on, but they answer nothing that was asked since: to be heard is not enough.
-Test(selector, a_feed_that_does_not_hear_is_left) {
+Test(control_source_selector, a_source_that_does_not_receive_is_left) {
   for (const bool has_majority : {true, false})
     for (const bool is_deaf : {true, false}) {
-      World world = three();
+      World world = world_of_three();
       for (auto& [address, registry] : world.registries)
         registry.is_confirmed = has_majority;
       world.selector.set_seeds(all, start);
       world.run(4s);
-      cr_assert(world.selector.chosen() == "a:1");
-      (is_deaf ? world.registries["a:1"].hears : world.registries["a:1"].is_reachable) = false;
+      cr_assert(world.selector.selected() == "a:1");
+      (is_deaf ? world.registries["a:1"].is_receiving : world.registries["a:1"].is_reachable) =
+          false;
       const TimePoint cut = world.now;
-      while (world.selector.chosen() == "a:1" && world.now - cut < 10s) {
-        world.tell("a:1");
+      while (world.selector.selected() == "a:1" && world.now - cut < 10s) {
+        world.answer("a:1");
         world.run(100ms);
       }
-      cr_expect(elapsed(cut, world.now) <= follow * 5, "majority %d, deaf %d", has_majority,
-                is_deaf);
+      cr_expect(elapsed(cut, world.now) <= request_interval * 5, "majority %d, deaf %d",
+                has_majority, is_deaf);
     }
 }
 
 // All its first contacts are on the wrong side: what they tell of is tried, and nothing known is
 // dropped for it.
-Test(selector, a_broker_started_on_the_wrong_side_finds_the_majority) {
+Test(control_source_selector, a_broker_started_in_a_minority_partition_finds_the_majority) {
   World world;
   const std::vector<std::string> core{"a:1", "b:1", "c:1", "d:1", "e:1"};
   for (const std::string& address : core)
@@ -191,15 +193,16 @@
     world.registries[cut].is_confirmed = false, world.registries[cut].version = Version{4};
   world.selector.set_seeds({"a:1", "b:1"}, start);
   world.run(1s);
-  cr_expect(world.is_ready && world.how == ControlSourceSelector::Ready::confirmed &&
+  cr_expect(world.is_ready && world.readiness == ControlSourceSelector::Readiness::confirmed &&
             world.serving == Version{5});
-  cr_expect(world.registries[world.selector.chosen()].is_confirmed);
+  cr_expect(world.registries[world.selector.selected()].is_confirmed);
   cr_expect(world.selector.sources().contains("a:1") && world.selector.sources().contains("b:1"),
             "seeds are kept");
 }
 
 // The one that led is gone as well, and still counts as heard for a moment.
-Test(selector, a_ready_broker_whose_known_registries_are_all_cut_off_tries_what_they_tell_of) {
+Test(control_source_selector,
+     a_broker_whose_registries_are_all_cut_off_tries_the_addresses_they_announce) {
   for (int point = 0; point < 16; ++point) {
     World world;
     for (const char* address : {"a:1", "b:1"})
@@ -208,57 +211,57 @@
     world.registries["b:1"].is_leader = true;
     world.selector.set_seeds({"a:1", "b:1"}, start);
     world.run(3s + Duration(point * 100));
-    cr_assert(world.how == ControlSourceSelector::Ready::confirmed &&
-              world.selector.chosen() == "a:1");
+    cr_assert(world.readiness == ControlSourceSelector::Readiness::confirmed &&
+              world.selector.selected() == "a:1");
     world.registries["b:1"].is_up = false;
     world.registries["a:1"].is_confirmed = false;
     world.registries["a:1"].registries = {"a:1", "c:1"};
     world.registries["c:1"].registries = {"c:1"};
     const TimePoint cut = world.now;
-    while (world.selector.chosen() != "c:1" && world.now - cut < 10s)
+    while (world.selector.selected() != "c:1" && world.now - cut < 10s)
       world.run(10ms);
-    cr_expect(world.now - cut <= follow * 5 + world.way * 4, "point %d: %d ms", point,
+    cr_expect(world.now - cut <= request_interval * 5 + world.latency * 4, "point %d: %d ms", point,
               static_cast<int>(elapsed(cut, world.now).count()));
-    cr_expect(world.selector.chosen() == "c:1" && world.selector.sources().contains("a:1"));
+    cr_expect(world.selector.selected() == "c:1" && world.selector.sources().contains("a:1"));
   }
 }
 
-Test(selector, good_addresses_outlive_the_contacts) {
-  World world = three();
+Test(control_source_selector, known_addresses_outlive_the_seeds) {
+  World world = world_of_three();
   world.selector.set_seeds({"a:1"}, start);
   world.run(3s);
   world.registries["a:1"].is_up = false;
   world.selector.set_seeds({}, world.now);
   world.run(4s);
-  cr_expect(world.selector.chosen() == "b:1" || world.selector.chosen() == "c:1", "%s",
-            world.selector.chosen().c_str());
-  cr_expect(world.selector.is_confirmed(world.selector.chosen(), world.now));
+  cr_expect(world.selector.selected() == "b:1" || world.selector.selected() == "c:1", "%s",
+            world.selector.selected().c_str());
+  cr_expect(world.selector.is_confirmed(world.selector.selected(), world.now));
   // One that knows nobody better tells of nobody: nothing is forgotten.
   world.registries["b:1"].is_confirmed = world.registries["c:1"].is_confirmed = false;
   world.registries["b:1"].registries = world.registries["c:1"].registries = {};
   world.run(5s);
   cr_expect(world.selector.sources().size() >= 2);
   world.registries["c:1"].is_confirmed = true;
-  cr_expect(world.until_confirmed(5s) <= follow * 2);
+  cr_expect(world.until_confirmed(5s) <= request_interval * 2);
 }
 
-Test(selector, without_any_majority_a_broker_is_ready_late_and_then_finds_it) {
-  World world = three();
+Test(control_source_selector, without_a_majority_a_broker_is_ready_unconfirmed_after_the_wait) {
+  World world = world_of_three();
   for (auto& [address, registry] : world.registries)
     registry.is_confirmed = false;
   world.selector.set_seeds({"b:1"}, start);
   world.run(unconfirmed_wait - 50ms);
   cr_expect(!world.is_ready);
   world.run(300ms);
-  cr_expect(world.is_ready && world.how == ControlSourceSelector::Ready::unconfirmed);
+  cr_expect(world.is_ready && world.readiness == ControlSourceSelector::Readiness::unconfirmed);
   world.registries["c:1"].is_confirmed = true;
-  cr_expect(world.until_confirmed(5s) <= follow + world.way * 4);
+  cr_expect(world.until_confirmed(5s) <= request_interval + world.latency * 4);
 }
 
 // The only contact answers late: what it tells of is tried before the broker goes by its word, but
 // not for ever.
-Test(selector, what_is_learnt_late_is_waited_for_once) {
-  World world = three();
+Test(control_source_selector, a_late_announced_address_extends_the_wait_only_once) {
+  World world = world_of_three();
   world.registries["b:1"].is_confirmed = false;
   world.registries["b:1"].is_reachable = false;
   world.registries["c:1"].is_up = world.registries["a:1"].is_up = false;
@@ -266,17 +269,17 @@
   world.run(unconfirmed_wait - 100ms);
   world.registries["b:1"].is_reachable = true;
   world.run(1s);
-  cr_expect(!world.is_ready && world.asked.contains("c:1"));
+  cr_expect(!world.is_ready && world.requested.contains("c:1"));
   world.run(1500ms);
-  cr_expect(world.how == ControlSourceSelector::Ready::unconfirmed);
+  cr_expect(world.readiness == ControlSourceSelector::Readiness::unconfirmed);
 }
 
-Test(selector, long_ways_do_not_make_it_change_to_and_fro) {
-  World world = three();
-  world.way = Duration(300);
+Test(control_source_selector, high_latency_causes_no_oscillation) {
+  World world = world_of_three();
+  world.latency = Duration(300);
   world.selector.set_seeds(all, start);
   world.run(10s);
-  cr_assert(world.selector.chosen() == "a:1");
+  cr_assert(world.selector.selected() == "a:1");
   const int before = world.changes;
   world.registries["a:1"].is_confirmed = false;
   world.run(20s);
--- a/tests/coordination/discovery/service_registry_test.cpp
+++ b/tests/coordination/discovery/service_registry_test.cpp
@@ -25,106 +25,107 @@
   return entries;
 }
 
-Status status(const EndpointTable& book, const std::string& id) {
-  return book.lines().at(id).entry.status;
+Status status(const EndpointTable& table, const std::string& id) {
+  return table.endpoints().at(id).endpoint.status;
 }
-Phase phase(const EndpointTable& book, const std::string& id) {
-  return book.lines().at(id).entry.phase;
+Phase phase(const EndpointTable& table, const std::string& id) {
+  return table.endpoints().at(id).endpoint.phase;
 }
 
-ServiceRegistry watching(int count, ServiceRegistryOptions options = {}) {
+ServiceRegistry registry_with(int count, ServiceRegistryOptions options = {}) {
   ServiceRegistry registry(options);
-  registry.name_services({"s"});
-  registry.observe(many(count), start);
+  registry.set_services({"s"});
+  registry.apply_listing(many(count), start);
   for (int at = 0; at < count; ++at)
     registry.renew("b" + std::to_string(at), start);
-  registry.sweep(start);
+  registry.run_eviction(start);
   return registry;
 }
 
-// Renews all but the first `silent` every second, and sweeps.
-void live(ServiceRegistry& registry, int count, int silent, TimePoint from, Duration span) {
-  for (TimePoint now = from; now <= from + span; now += 1s) {
-    for (int at = silent; at < count; ++at)
+// Renews all but the first `silent_count` every second, and sweeps.
+void run_renewals(ServiceRegistry& registry, int count, int silent_count, TimePoint from,
+                  Duration duration) {
+  for (TimePoint now = from; now <= from + duration; now += 1s) {
+    for (int at = silent_count; at < count; ++at)
       registry.renew("b" + std::to_string(at), now);
-    registry.sweep(now);
+    registry.run_eviction(now);
   }
 }
 
 }  // namespace
 
-Test(registry, a_backend_is_starting_until_its_first_renewal) {
+Test(service_registry, a_backend_is_starting_until_its_first_renewal) {
   ServiceRegistry registry({});
-  registry.name_services({"s"});
-  registry.observe(many(1), start);
+  registry.set_services({"s"});
+  registry.apply_listing(many(1), start);
   cr_expect(status(registry, "b0") == Status::starting);
-  cr_expect(registry.targets().size() == 1);
+  cr_expect(registry.probe_targets().size() == 1);
   registry.renew("b0", start + 50ms);
   cr_expect(status(registry, "b0") == Status::up);
 }
 
-Test(registry, an_expired_hold_is_evicted_by_the_sweep_and_a_renewal_brings_it_back) {
-  ServiceRegistry registry = watching(10);
-  live(registry, 10, 1, start + 1s, 4s);
+Test(service_registry, an_expired_lease_is_evicted_and_a_renewal_restores_it) {
+  ServiceRegistry registry = registry_with(10);
+  run_renewals(registry, 10, 1, start + 1s, 4s);
   cr_expect(status(registry, "b0") == Status::up, "its hold has not run out");
-  live(registry, 10, 1, start + 6s, 3s);
+  run_renewals(registry, 10, 1, start + 6s, 3s);
   cr_expect(status(registry, "b0") == Status::down);
-  cr_expect(registry.evicted() == 1);
+  cr_expect(registry.eviction_count() == 1);
   registry.renew("b0", start + 10s);
   cr_expect(status(registry, "b0") == Status::up);
 }
 
-Test(registry, eviction_pauses_under_the_threshold_and_goes_on_above_it) {
-  ServiceRegistry registry = watching(10);
-  live(registry, 10, 4, start + 1s, 20s);
+Test(service_registry, self_preservation_pauses_eviction_below_the_renewal_threshold) {
+  ServiceRegistry registry = registry_with(10);
+  run_renewals(registry, 10, 4, start + 1s, 20s);
   cr_expect(!registry.is_evicting());
   for (int at = 0; at < 10; ++at)
     cr_expect(status(registry, "b" + std::to_string(at)) == Status::up);
-  live(registry, 10, 1, start + 22s, 10s);
+  run_renewals(registry, 10, 1, start + 22s, 10s);
   cr_expect(registry.is_evicting());
   cr_expect(status(registry, "b0") == Status::down && status(registry, "b1") == Status::up);
 }
 
-Test(registry, without_self_preservation_all_expired_holds_go) {
+Test(service_registry, without_self_preservation_every_expired_lease_is_evicted) {
   ServiceRegistryOptions options;
-  options.is_preserving = false;
-  ServiceRegistry registry = watching(10, options);
-  live(registry, 10, 4, start + 1s, 10s);
-  cr_expect(registry.evicted() == 4);
+  options.has_self_preservation = false;
+  ServiceRegistry registry = registry_with(10, options);
+  run_renewals(registry, 10, 4, start + 1s, 10s);
+  cr_expect(registry.eviction_count() == 4);
 }
 
-Test(registry, emptying_cancels_at_once_and_nothing_late_revives_it) {
-  ServiceRegistry registry = watching(2), peer = watching(2);
-  registry.observe({listed("b0", Phase::emptying), listed("b1")}, start + 1s);
+Test(service_registry, a_cancel_acts_at_once_and_no_late_message_revives_the_backend) {
+  ServiceRegistry registry = registry_with(2), peer = registry_with(2);
+  registry.apply_listing({listed("b0", Phase::emptying), listed("b1")}, start + 1s);
   cr_expect(status(registry, "b0") == Status::out_of_service);
   registry.renew("b0", start + 2s);
   cr_expect(status(registry, "b0") == Status::out_of_service);
-  registry.take(peer.since(0, start + 2s), start + 2s);
+  registry.apply_replica(peer.changes_since(0, start + 2s), start + 2s);
   cr_expect(phase(registry, "b0") == Phase::emptying);
-  peer.take(registry.since(0, start + 2s), start + 2s);
+  peer.apply_replica(registry.changes_since(0, start + 2s), start + 2s);
   cr_expect(phase(peer, "b0") == Phase::emptying && status(peer, "b0") == Status::out_of_service);
-  registry.observe(many(2), start + 3s);
+  registry.apply_listing(many(2), start + 3s);
   cr_expect(phase(registry, "b0") == Phase::emptying);
 }
 
-Test(registry, a_backend_is_gone_when_two_listings_lack_it) {
-  ServiceRegistry registry = watching(2);
-  registry.observe({listed("b1")}, start + 1s);
+Test(service_registry, a_backend_missing_from_two_listings_is_gone) {
+  ServiceRegistry registry = registry_with(2);
+  registry.apply_listing({listed("b1")}, start + 1s);
   cr_expect(phase(registry, "b0") == Phase::ready, "pages may shift between two calls");
-  registry.observe({listed("b1")}, start + 2s);
+  registry.apply_listing({listed("b1")}, start + 2s);
   cr_expect(phase(registry, "b0") == Phase::gone);
-  registry.sweep(start + 30s);
-  cr_expect(registry.lines().contains("b0"), "remembered, so that nothing late revives it");
-  registry.sweep(start + 70s);
-  cr_expect(!registry.lines().contains("b0"));
+  registry.run_eviction(start + 30s);
+  cr_expect(registry.endpoints().contains("b0"), "remembered, so that nothing late revives it");
+  registry.run_eviction(start + 70s);
+  cr_expect(!registry.endpoints().contains("b0"));
 }
 
-Test(registry, deltas_bring_a_copy_to_the_same_as_the_whole) {
-  ServiceRegistry registry = watching(5);
+Test(service_registry, deltas_yield_the_same_copy_as_a_complete_list) {
+  ServiceRegistry registry = registry_with(5);
   EndpointTable copy, fresh;
   std::uint64_t revision = 0;
   const auto follow = [&](TimePoint now) {
-    const EndpointList delta = registry.since(revision, now);
+    const EndpointList delta = registry.changes_since(revision, now);
     for (const Endpoint& entry : delta.entries)
       copy.merge(entry, now);
     revision = delta.revision;
@@ -132,63 +133,63 @@
   };
   cr_expect(follow(start) == 5);
   cr_expect(follow(start) == 0);
-  registry.observe({listed("b0", Phase::emptying), listed("b1"), listed("b2"), listed("b3"),
-                    listed("b4"), listed("b5")},
-                   start + 1s);
+  registry.apply_listing({listed("b0", Phase::emptying), listed("b1"), listed("b2"), listed("b3"),
+                          listed("b4"), listed("b5")},
+                         start + 1s);
   cr_expect(follow(start + 1s) == 2);
-  for (const Endpoint& entry : registry.since(0, start + 1s).entries)
+  for (const Endpoint& entry : registry.changes_since(0, start + 1s).entries)
     fresh.merge(entry, start + 1s);
-  for (const auto& [id, line] : fresh.lines()) {
-    cr_expect(copy.lines().at(id).entry.status == line.entry.status);
-    cr_expect(copy.lines().at(id).entry.phase == line.entry.phase);
+  for (const auto& [id, leased] : fresh.endpoints()) {
+    cr_expect(copy.endpoints().at(id).endpoint.status == leased.endpoint.status);
+    cr_expect(copy.endpoints().at(id).endpoint.phase == leased.endpoint.phase);
   }
 }
 
-Test(registry, a_restarted_one_is_filled_only_by_a_whole_capture_or_a_listing) {
-  ServiceRegistry registry = watching(3), restarted({});
+Test(service_registry, a_restarted_registry_is_filled_only_by_a_complete_list) {
+  ServiceRegistry registry = registry_with(3), restarted({});
   cr_expect(!restarted.is_filled());
-  restarted.take(registry.since(1, start), start);
+  restarted.apply_replica(registry.changes_since(1, start), start);
   cr_expect(!restarted.is_filled());
-  restarted.take(registry.since(0, start), start);
+  restarted.apply_replica(registry.changes_since(0, start), start);
   cr_expect(restarted.is_filled());
-  cr_expect(restarted.lines().size() == 3);
+  cr_expect(restarted.endpoints().size() == 3);
 }
 
-Test(registry, a_backend_that_tells_of_itself_is_registered_renewed_and_cancelled) {
+Test(service_registry, self_registered_backends_register_renew_and_cancel) {
   ServiceRegistryOptions options;
-  options.is_signing_up = true;
+  options.has_self_registration = true;
   ServiceRegistry here(options), there(options);
   const TimePoint start = TimePoint{} + 1000s;
   Endpoint entry;
   const std::string heartbeat =
       R"({"service":"db","address":"10.0.0.1:80","zone":"z","state":"ready","store_role":"copy","call_count":4})";
   cr_assert(!read_backend_heartbeat("i-1", heartbeat, false, entry));
-  here.sign(entry, start);
-  there.take(here.since(0, start), start);
-  cr_expect(there.lines().at("i-1").entry.status == Status::up);
+  here.handle_heartbeat(entry, start);
+  there.apply_replica(here.changes_since(0, start), start);
+  cr_expect(there.endpoints().at("i-1").endpoint.status == Status::up);
   // Its new role comes with a renewal that passes the roster on the way.
   entry.call_count = 5;
   entry.is_leader = true;
-  here.sign(entry, start + 1s);
-  for (const auto& item : here.take_renewed(start + 1s).items)
-    there.renew_signed(item, start + 1s);
-  there.take(here.since(1, start + 1s), start + 1s);
-  cr_expect(there.lines().at("i-1").entry.is_leader);
+  here.handle_heartbeat(entry, start + 1s);
+  for (const auto& item : here.take_renewals(start + 1s).items)
+    there.apply_renewal(item, start + 1s);
+  there.apply_replica(here.changes_since(1, start + 1s), start + 1s);
+  cr_expect(there.endpoints().at("i-1").endpoint.is_leader);
   // A late call changes nothing; a cancel wins for good.
   entry.call_count = 3;
   entry.is_leader = false;
-  here.sign(entry, start + 2s);
-  cr_expect(here.lines().at("i-1").entry.is_leader);
+  here.handle_heartbeat(entry, start + 2s);
+  cr_expect(here.endpoints().at("i-1").endpoint.is_leader);
   entry.call_count = 6;
   entry.phase = Phase::emptying;
-  here.sign(entry, start + 2s);
+  here.handle_heartbeat(entry, start + 2s);
   entry.call_count = 9;
   entry.phase = Phase::ready;
-  here.sign(entry, start + 3s);
-  cr_expect(here.lines().at("i-1").entry.phase == Phase::emptying);
+  here.handle_heartbeat(entry, start + 3s);
+  cr_expect(here.endpoints().at("i-1").endpoint.phase == Phase::emptying);
 }
 
-Test(registry, a_wrong_beat_is_refused_by_field) {
+Test(service_registry, an_invalid_heartbeat_is_refused_naming_the_field) {
   const struct {
     const char* body;
     const char* complaint;
--- a/tests/coordination/leases/term_fence_test.cpp
+++ b/tests/coordination/leases/term_fence_test.cpp
@@ -64,23 +64,31 @@
   ControlSourceSelector selector({"here", "north", Duration(400), Duration(2000)}, IncarnationId{7},
                                  start);
   selector.set_seeds({"old:1", "new:1", "other:1"}, start);
-  std::uint64_t token = selector.turn(start);
-  cr_expect(selector.take("old:1", heartbeat_of(1, true, IncarnationId{7}, token), start + 10ms)
-                .is_steering);
+  std::uint64_t token = selector.begin_requests(start);
+  cr_expect(
+      selector
+          .handle_heartbeat("old:1", heartbeat_of(1, true, IncarnationId{7}, token), start + 10ms)
+          .is_authoritative);
   // One more reply of the former leader stays in a buffer for twenty seconds.
   const ControlHeartbeat late = heartbeat_of(1, true, IncarnationId{7}, token);
-  token = selector.turn(start + 20s);
-  cr_expect(
-      !selector.take("other:1", heartbeat_of(2, false, IncarnationId{7}, token), start + 20010ms)
-           .is_steering,
-      "a follower announces the new term");
-  const ControlSourceSelector::Heard thawed = selector.take("old:1", late, start + 20020ms);
-  cr_expect(!thawed.is_steering && !thawed.asked);
+  token = selector.begin_requests(start + 20s);
+  cr_expect(!selector
+                 .handle_heartbeat("other:1", heartbeat_of(2, false, IncarnationId{7}, token),
+                                   start + 20010ms)
+                 .is_authoritative,
+            "a follower announces the new term");
+  const ControlSourceSelector::HeartbeatResult thawed =
+      selector.handle_heartbeat("old:1", late, start + 20020ms);
+  cr_expect(!thawed.is_authoritative && !thawed.request_sent_at);
   // It also answers the newest request, before it learns that it does not lead any more.
-  cr_expect(!selector.take("old:1", heartbeat_of(1, true, IncarnationId{7}, token), start + 20030ms)
-                 .is_steering);
-  cr_expect(selector.take("new:1", heartbeat_of(2, true, IncarnationId{7}, token), start + 20040ms)
-                .is_steering);
+  cr_expect(!selector
+                 .handle_heartbeat("old:1", heartbeat_of(1, true, IncarnationId{7}, token),
+                                   start + 20030ms)
+                 .is_authoritative);
+  cr_expect(selector
+                .handle_heartbeat("new:1", heartbeat_of(2, true, IncarnationId{7}, token),
+                                  start + 20040ms)
+                .is_authoritative);
   for (const auto& [address, source] : selector.sources())
     cr_expect(selector.is_leader(source) == (address == "new:1"));
 }
@@ -90,29 +98,34 @@
   ControlSourceSelector selector({"here", "north", Duration(400), Duration(2000)}, IncarnationId{7},
                                  start);
   selector.set_seeds({"old:1"}, start);
-  const std::uint64_t token = selector.turn(start);
-  selector.turn(start + 20s);
-  const ControlSourceSelector::Heard reply =
-      selector.take("old:1", heartbeat_of(1, true, IncarnationId{7}, token), start + 20s);
-  cr_expect(!reply.is_steering && !reply.asked && !selector.is_confirmed("old:1", start + 20s));
-  cr_expect(!selector.take("old:1", heartbeat_of(1, true, IncarnationId{6}, token + 1), start + 20s)
-                 .asked,
+  const std::uint64_t token = selector.begin_requests(start);
+  selector.begin_requests(start + 20s);
+  const ControlSourceSelector::HeartbeatResult reply = selector.handle_heartbeat(
+      "old:1", heartbeat_of(1, true, IncarnationId{7}, token), start + 20s);
+  cr_expect(!reply.is_authoritative && !reply.request_sent_at &&
+            !selector.is_confirmed("old:1", start + 20s));
+  cr_expect(!selector
+                 .handle_heartbeat("old:1", heartbeat_of(1, true, IncarnationId{6}, token + 1),
+                                   start + 20s)
+                 .request_sent_at,
             "addressed to a former incarnation");
-  cr_expect(selector.take("old:1", heartbeat_of(1, true, IncarnationId{7}, token + 1), start + 20s)
-                .asked == start + 20s);
+  cr_expect(selector
+                .handle_heartbeat("old:1", heartbeat_of(1, true, IncarnationId{7}, token + 1),
+                                  start + 20s)
+                .request_sent_at == start + 20s);
 }
 
 Test(term_fence, a_retry_grant_counts_from_the_request_it_answers) {
   ControlSourceSelector selector({"here", "north", Duration(400), Duration(2000)}, IncarnationId{7},
                                  start);
   selector.set_seeds({"old:1"}, start);
-  const std::uint64_t token = selector.turn(start);
-  selector.turn(start + 1900ms);  // the reply below does not answer this newest request
-  const ControlSourceSelector::Heard reply =
-      selector.take("old:1", heartbeat_of(1, true, IncarnationId{7}, token), start + 1950ms);
-  cr_assert(reply.is_steering && reply.asked);
+  const std::uint64_t token = selector.begin_requests(start);
+  selector.begin_requests(start + 1900ms);  // the reply below does not answer this newest request
+  const ControlSourceSelector::HeartbeatResult reply = selector.handle_heartbeat(
+      "old:1", heartbeat_of(1, true, IncarnationId{7}, token), start + 1950ms);
+  cr_assert(reply.is_authoritative && reply.request_sent_at);
   RetryQuota quota;
-  quota.update(7, valid, *reply.asked);
+  quota.update(7, valid, *reply.request_sent_at);
   cr_expect(quota.available(start + 1999ms) == 7 && quota.available(start + 2001ms) == 0);
 }
 
