--- a/src/control_client/control_plane_client.cpp
+++ b/src/control_client/control_plane_client.cpp
@@ -235,7 +235,7 @@
 // Asks a registry that holds the newest version for its body: the feed, if it has it soon, else the
 // one heard last.
 void ControlPlaneClient::fetch(TimePoint now) {
-  const std::pair<const std::string, ControlSourceSelector::Source>* best = nullptr;
+  const std::pair<const std::string, ControlSource>* best = nullptr;
   const bool has_feed = is_ready_ && !control_source_.selected().empty();
   const Version held = version_switch_.version_held();
   for (const auto& item : control_source_.sources()) {
--- a/src/coordination/discovery/service_registry.cpp
+++ b/src/coordination/discovery/service_registry.cpp
@@ -6,92 +6,83 @@
 namespace saddlewing {
 namespace {
 
-TimePoint after(TimePoint now, std::uint64_t milliseconds) {
-  return now + Duration(static_cast<std::int64_t>(std::min<std::uint64_t>(milliseconds, 86400000)));
+constexpr Duration min_tombstone{60000};
+constexpr std::uint64_t max_renewal_age_ms =
+    60000;                              // an older renewal of a peer counts as this old
+constexpr int listings_until_gone = 2;  // pages may shift between two calls of a list
+
+// The stamp of a self-registered backend's heartbeat. The odd number after it belongs to an
+// eviction, so that the next heartbeat wins over that.
+std::uint64_t stamp_of_call(std::uint64_t call_count) {
+  return call_count * 2;
 }
-std::uint64_t remaining(TimePoint now, TimePoint until) {
-  return until > now ? static_cast<std::uint64_t>(elapsed(now, until).count()) : 0;
+
+std::uint64_t stamp_of_eviction(std::uint64_t call_count) {
+  return call_count * 2 + 1;
 }
 
 }  // namespace
 
-bool EndpointTable::merge(const Endpoint& entry, TimePoint now) {
-  const auto [position, is_new] = endpoints_.try_emplace(entry.id);
-  LeasedEndpoint& leased = position->second;
-  if (is_new) {
-    leased.endpoint = entry;
-    leased.last_heartbeat = now;
-    leased.warm_until = after(now, entry.warm_left);
-    leased.lease_until = after(now, entry.lease_left);
-    if (entry.phase == Phase::gone)
-      leased.gone_at = now;
-    mark_changed(leased);
-    return true;
-  }
-  bool has_changed = false;
-  if (entry.phase > leased.endpoint.phase) {
-    leased.endpoint.phase = entry.phase;
-    if (entry.phase == Phase::gone)
-      leased.gone_at = now;
-    has_changed = true;
-  }
-  if (entry.stamp > leased.endpoint.stamp) {
-    has_changed = has_changed || entry.status != leased.endpoint.status ||
-                  entry.is_leader != leased.endpoint.is_leader;
-    leased.endpoint.is_leader = entry.is_leader;
-    leased.endpoint.call_count = entry.call_count;
-    leased.endpoint.status = entry.status;
-    leased.endpoint.stamp = entry.stamp;
-    leased.lease_until = after(now, entry.lease_left);
-  } else if (entry.stamp == leased.endpoint.stamp) {
-    leased.lease_until = std::max(leased.lease_until, after(now, entry.lease_left));
-  }
-  if (has_changed)
-    mark_changed(leased);
-  return has_changed;
+Duration tombstone_duration(const NodeSettings& settings) {
+  return std::max(min_tombstone, settings.reuse_wait * 10);
 }
 
-void EndpointTable::erase_tombstones(TimePoint now, Duration tombstone) {
-  std::erase_if(endpoints_, [&](const auto& item) {
-    return item.second.endpoint.phase == Phase::gone && now - item.second.gone_at > tombstone;
-  });
+void ServiceRegistry::set_status(LeasedEndpoint& leased, Status status) {
+  ++stamp_;
+  leased.endpoint.status = status;
+  leased.endpoint.stamp = stamp_;
+  mark_changed(leased);
 }
 
-Endpoint EndpointTable::with_remaining_times(const LeasedEndpoint& leased, TimePoint now) const {
-  Endpoint entry = leased.endpoint;
-  entry.warm_left = remaining(now, leased.warm_until);
-  entry.lease_left = remaining(now, leased.lease_until);
-  return entry;
+void ServiceRegistry::set_services(std::set<std::string> services) {
+  services_ = std::move(services);
 }
 
-void ServiceRegistry::apply_listing(const std::vector<Endpoint>& listed, TimePoint now) {
-  std::set<std::string> listed_ids;
-  for (const Endpoint& entry : listed) {
-    listed_ids.insert(entry.id);
-    missed_listings_.erase(entry.id);
-    const auto found = endpoints_.find(entry.id);
-    if (found == endpoints_.end()) {  // the first appearance is its register
-      Endpoint fresh = entry;
-      fresh.status = entry.phase == Phase::ready ? Status::starting : Status::out_of_service;
-      fresh.stamp = ++stamp_;
-      fresh.lease_left = static_cast<std::uint64_t>(options_.lease_duration.count());
-      merge(fresh, now);
-    } else if (entry.phase >
-               found->second.endpoint.phase) {  // its showing as emptying is its cancel
-      found->second.endpoint.phase = entry.phase;
-      set_status(found->second, Status::out_of_service);
-    }
+void ServiceRegistry::set_stamp_base(std::uint64_t base) {
+  stamp_ = std::max(stamp_, base);
+}
+
+void ServiceRegistry::apply_listed(const Endpoint& entry, TimePoint now) {
+  missed_listings_.erase(entry.id);
+  const auto found = endpoints_.find(entry.id);
+  if (found == endpoints_.end()) {
+    Endpoint registered = entry;
+    registered.status = entry.phase == Phase::ready ? Status::starting : Status::out_of_service;
+    ++stamp_;
+    registered.stamp = stamp_;
+    registered.lease_left = static_cast<std::uint64_t>(options_.lease_duration.count());
+    merge(registered, now);
+    return;
   }
+  LeasedEndpoint& leased = found->second;
+  if (entry.phase <= leased.endpoint.phase)
+    return;
+  leased.endpoint.phase = entry.phase;
+  set_status(leased, Status::out_of_service);
+}
+
+void ServiceRegistry::erase_unlisted(const std::set<std::string>& listed_ids, TimePoint now) {
   for (auto& [id, leased] : endpoints_) {
     if (leased.endpoint.phase == Phase::gone || listed_ids.contains(id))
       continue;
-    if (++missed_listings_[id] < 2)
+    int& missed = missed_listings_[id];
+    ++missed;
+    if (missed < listings_until_gone)
       continue;
     missed_listings_.erase(id);
     leased.endpoint.phase = Phase::gone;
     leased.gone_at = now;
     set_status(leased, Status::out_of_service);
   }
+}
+
+void ServiceRegistry::apply_listing(const std::vector<Endpoint>& listed, TimePoint now) {
+  std::set<std::string> listed_ids;
+  for (const Endpoint& entry : listed) {
+    listed_ids.insert(entry.id);
+    apply_listed(entry, now);
+  }
+  erase_unlisted(listed_ids, now);
   is_filled_ = true;
 }
 
@@ -101,29 +92,33 @@
     return;
   LeasedEndpoint& leased = found->second;
   leased.lease_until = now + options_.lease_duration;
-  renewed_this_period_.insert(id);
-  if (leased.endpoint.status == Status::starting || leased.endpoint.status == Status::down)
+  renewals_.record(id);
+  const Status status = leased.endpoint.status;
+  if (status == Status::starting || status == Status::down)
     set_status(leased, Status::up);
 }
 
 void ServiceRegistry::handle_heartbeat(const Endpoint& entry, TimePoint now) {
   is_filled_ = true;
+  const auto found = endpoints_.find(entry.id);
+  const bool is_late =
+      found != endpoints_.end() && entry.call_count <= found->second.endpoint.call_count;
+  if (is_late && entry.phase != Phase::gone)
+    return;
   Endpoint reported = entry;
   reported.status = reported.phase == Phase::ready ? Status::up : Status::out_of_service;
-  reported.stamp = reported.call_count * 2;  // a sweep's DOWN stands between this call and the next
+  reported.stamp = stamp_of_call(reported.call_count);
   reported.lease_left = static_cast<std::uint64_t>(options_.lease_duration.count());
-  const auto found = endpoints_.find(entry.id);
-  if (found != endpoints_.end() && reported.phase != Phase::gone &&
-      reported.call_count <= found->second.endpoint.call_count)
-    return;
   merge(reported, now);
   LeasedEndpoint& leased = endpoints_[entry.id];
-  if (leased.endpoint.phase != Phase::ready && leased.endpoint.status != Status::out_of_service) {
+  // A cancel may have come with a lower stamp than the entry; the phase decides.
+  const bool is_cancelled = leased.endpoint.phase != Phase::ready;
+  if (is_cancelled && leased.endpoint.status != Status::out_of_service) {
     leased.endpoint.status = Status::out_of_service;
     mark_changed(leased);
   }
   leased.last_heartbeat = now;
-  renewed_this_period_.insert(entry.id);
+  renewals_.record(entry.id);
   pending_renewals_.insert(entry.id);
 }
 
@@ -132,77 +127,86 @@
   if (found == endpoints_.end() || item.call_count <= found->second.endpoint.call_count)
     return;
   LeasedEndpoint& leased = found->second;
-  const TimePoint when =
-      now - Duration(static_cast<std::int64_t>(std::min<std::uint64_t>(item.age, 60000)));
-  leased.endpoint.call_count = item.call_count;
-  leased.endpoint.stamp = std::max(leased.endpoint.stamp, item.call_count * 2);
-  leased.last_heartbeat = std::max(leased.last_heartbeat, when);
-  leased.lease_until = std::max(leased.lease_until, when + options_.lease_duration);
-  renewed_this_period_.insert(item.id);
-  const bool is_back =
-      leased.endpoint.phase == Phase::ready && leased.endpoint.status == Status::down;
-  if (is_back)
-    leased.endpoint.status = Status::up;
-  if (is_back || leased.endpoint.is_leader != item.is_leader)
+  Endpoint& endpoint = leased.endpoint;
+  const std::uint64_t age = std::min(item.age, max_renewal_age_ms);
+  const TimePoint renewed_at = now - Duration(static_cast<std::int64_t>(age));
+  endpoint.call_count = item.call_count;
+  endpoint.stamp = std::max(endpoint.stamp, stamp_of_call(item.call_count));
+  leased.last_heartbeat = std::max(leased.last_heartbeat, renewed_at);
+  leased.lease_until = std::max(leased.lease_until, renewed_at + options_.lease_duration);
+  renewals_.record(item.id);
+  const bool is_restored = endpoint.phase == Phase::ready && endpoint.status == Status::down;
+  if (is_restored)
+    endpoint.status = Status::up;
+  if (is_restored || endpoint.is_leader != item.is_leader)
     mark_changed(leased);
-  leased.endpoint.is_leader =
-      item.is_leader;  // with its count: else a role reported in between would be passed over
+  // The role travels with the call count: an entry with a lower count that brings it later is
+  // ignored.
+  endpoint.is_leader = item.is_leader;
 }
 
 RenewedIds ServiceRegistry::take_renewals(TimePoint now) {
-  RenewedIds renewed;
-  for (const std::string& id : std::exchange(pending_renewals_, {}))
-    if (const auto found = endpoints_.find(id);
-        found != endpoints_.end() && found->second.endpoint.phase == Phase::ready)
-      renewed.items.push_back({id, found->second.endpoint.call_count,
-                               static_cast<std::uint64_t>(std::max<std::int64_t>(
-                                   0, elapsed(found->second.last_heartbeat, now).count())),
-                               found->second.endpoint.is_leader});
-  return renewed;
+  RenewedIds renewals;
+  for (const std::string& id : std::exchange(pending_renewals_, {})) {
+    const auto found = endpoints_.find(id);
+    if (found == endpoints_.end() || found->second.endpoint.phase != Phase::ready)
+      continue;
+    const LeasedEndpoint& leased = found->second;
+    const Duration age = std::max(Duration(0), elapsed(leased.last_heartbeat, now));
+    renewals.items.push_back({id, leased.endpoint.call_count,
+                              static_cast<std::uint64_t>(age.count()), leased.endpoint.is_leader});
+  }
+  return renewals;
 }
 
-void ServiceRegistry::run_eviction(TimePoint now) {
-  if (now - period_start_ >= options_.renewal_interval) {
-    renewed_last_period_ = std::move(renewed_this_period_);
-    renewed_this_period_.clear();
-    period_start_ = now;
-  }
-  if (now - last_eviction_ < options_.eviction_interval)
-    return;
-  last_eviction_ = now;
-  std::size_t expected = 0, renewed = 0;
+bool ServiceRegistry::is_serving(const LeasedEndpoint& leased) const {
+  return leased.endpoint.phase == Phase::ready && leased.endpoint.status == Status::up &&
+         services_.contains(leased.endpoint.service);
+}
+
+bool ServiceRegistry::has_enough_renewals() const {
+  std::size_t expected = 0;
+  std::size_t renewed = 0;
   for (const auto& [id, leased] : endpoints_) {
-    if (leased.endpoint.phase != Phase::ready || leased.endpoint.status != Status::up ||
-        !services_.contains(leased.endpoint.service))
+    if (!is_serving(leased))
       continue;
     ++expected;
-    renewed += renewed_this_period_.contains(id) || renewed_last_period_.contains(id);
+    if (renewals_.contains(id))
+      ++renewed;
   }
-  is_evicting_ =
-      !options_.has_self_preservation ||
-      static_cast<double>(renewed) >= options_.renewal_threshold * static_cast<double>(expected);
+  return static_cast<double>(renewed) >= options_.renewal_threshold * static_cast<double>(expected);
+}
+
+void ServiceRegistry::evict(LeasedEndpoint& leased) {
+  ++eviction_count_;
+  if (!options_.has_self_registration)
+    return set_status(leased, Status::down);
+  leased.endpoint.status = Status::down;
+  leased.endpoint.stamp = stamp_of_eviction(leased.endpoint.call_count);
+  mark_changed(leased);
+}
+
+void ServiceRegistry::run_eviction(TimePoint now) {
+  renewals_.advance(now);
+  if (now - last_eviction_ < options_.eviction_interval)
+    return;
+  last_eviction_ = now;
+  is_evicting_ = !options_.has_self_preservation || has_enough_renewals();
   if (is_evicting_)
     for (auto& [id, leased] : endpoints_)
-      if (leased.endpoint.phase == Phase::ready && leased.endpoint.status == Status::up &&
-          services_.contains(leased.endpoint.service) && leased.lease_until <= now) {
-        if (options_.has_self_registration) {
-          leased.endpoint.status = Status::down;
-          leased.endpoint.stamp = leased.endpoint.call_count * 2 + 1;
-          mark_changed(leased);
-        } else {
-          set_status(leased, Status::down);
-        }
-        ++eviction_count_;
-      }
+      if (is_serving(leased) && leased.lease_until <= now)
+        evict(leased);
   erase_tombstones(now, options_.tombstone);
 }
 
 std::vector<ProbeTarget> ServiceRegistry::probe_targets() const {
   std::vector<ProbeTarget> targets;
-  for (const auto& [id, leased] : endpoints_)
-    if (leased.endpoint.phase == Phase::ready && services_.contains(leased.endpoint.service))
-      targets.push_back({id, leased.endpoint.address, leased.endpoint.service,
-                         leased.endpoint.status != Status::up});
+  for (const auto& [id, leased] : endpoints_) {
+    const Endpoint& endpoint = leased.endpoint;
+    if (endpoint.phase != Phase::ready || !services_.contains(endpoint.service))
+      continue;
+    targets.push_back({id, endpoint.address, endpoint.service, endpoint.status != Status::up});
+  }
   return targets;
 }
 
--- a/tests/coordination/discovery/control_source_selector_test.cpp
+++ b/tests/coordination/discovery/control_source_selector_test.cpp
@@ -1,5 +1,5 @@
-// A broker among registries of which some are cut off: what it serves by stays confirmed while that
-// can be had.
+// A broker among registries of which some are partitioned away: its source stays a confirmed one as
+// long as there is any.
 #include <criterion/criterion.h>
 
 #include <algorithm>
@@ -13,37 +13,46 @@
 namespace {
 
 constexpr TimePoint start = TimePoint{} + 1000s;
-constexpr Duration request_interval{400}, startup_request_interval{50}, unconfirmed_wait{2000};
+constexpr Duration request_interval{400};
+constexpr Duration startup_request_interval{50};  // until the broker is ready
+constexpr Duration unconfirmed_wait{2000};
 constexpr IncarnationId incarnation{7};
 
 struct SimulatedRegistry {
-  bool is_confirmed = true, is_up = true, is_leader = false;
-  bool is_receiving = true, is_reachable = true;  // the ways from the broker and to it
-  std::string zone = "there", region = "south";
+  bool is_confirmed = true;
+  bool is_up = true;
+  bool is_leader = false;
+  bool is_receiving = true;  // frames from the broker arrive
+  bool is_reachable = true;  // frames to the broker arrive
+  std::string zone = "there";
+  std::string region = "south";
   std::vector<std::string> registries;
   Version version{5};
   std::uint64_t token = 0;  // of the last request that arrived
 };
 
+// One broker and its registries, by a simulated clock in steps of 10 ms.
 struct World {
-  std::map<std::string, SimulatedRegistry> registries;
+  struct FrameInFlight {
+    TimePoint due;
+    std::string address;  // of the registry
+    std::uint64_t token;
+    bool is_answer;
+    ControlHeartbeat heartbeat;  // of an answer
+  };
+
+  std::map<std::string, SimulatedRegistry> registries;  // by address
   ControlSourceSelector selector{
       {"here", "north", request_interval, unconfirmed_wait}, incarnation, start};
-  TimePoint now = start, due = start;
-  Duration latency{40};
+  TimePoint now = start;
+  TimePoint requests_due = start;
+  Duration latency{40};  // one way
   bool is_ready = false;
   ControlSourceSelector::Readiness readiness = ControlSourceSelector::Readiness::no;
   Version serving;
-  std::set<std::string> requested;  // ever
+  std::set<std::string> requested;  // every address that ever got a request
   std::string last_selected;
-  int changes = 0;
-  struct FrameInFlight {
-    TimePoint due;
-    std::string address;
-    std::uint64_t token;
-    bool is_answer;
-    ControlHeartbeat heartbeat;
-  };
+  int changes = 0;  // of the source
   std::vector<FrameInFlight> in_flight;
 
   void request(const std::string& address) {
@@ -52,12 +61,16 @@
     if (found != registries.end() && found->second.is_up && found->second.is_receiving)
       in_flight.push_back({now + latency, address, selector.last_token(), false, {}});
   }
+
   void select() {
-    if (const auto chosen = selector.select(now))
-      request(*chosen);
-    if (selector.selected() != last_selected)
-      ++changes, last_selected = selector.selected();
+    if (const auto selected = selector.select(now))
+      request(*selected);
+    if (selector.selected() == last_selected)
+      return;
+    ++changes;
+    last_selected = selector.selected();
   }
+
   void answer(const std::string& address) {
     SimulatedRegistry& registry = registries[address];
     if (!registry.is_reachable)
@@ -75,50 +88,69 @@
     heartbeat.registries = registry.registries;
     in_flight.push_back({now + latency, address, 0, true, heartbeat});
   }
+
+  void deliver(const FrameInFlight& frame) {
+    if (!registries[frame.address].is_up)
+      return;
+    if (!frame.is_answer) {
+      registries[frame.address].token = frame.token;
+      answer(frame.address);
+      return;
+    }
+    const bool was_confirmed = selector.is_confirmed(selector.selected(), now);
+    selector.handle_heartbeat(frame.address, frame.heartbeat, now);
+    selector.handle_endpoints(frame.address);
+    serving = std::max(serving, frame.heartbeat.version);
+    if (!is_ready || !was_confirmed)
+      select();
+  }
+
+  void deliver_due_frames() {
+    const auto is_due = [&](const FrameInFlight& frame) {
+      return frame.due <= now;
+    };
+    std::vector<FrameInFlight> arrived;
+    std::copy_if(in_flight.begin(), in_flight.end(), std::back_inserter(arrived), is_due);
+    std::erase_if(in_flight, is_due);
+    for (const FrameInFlight& frame : arrived)
+      deliver(frame);
+  }
+
+  void send_requests() {
+    selector.begin_requests(now);
+    requests_due = now + (is_ready ? request_interval : startup_request_interval);
+    std::size_t position = 0;
+    std::vector<std::string> addresses;
+    for (const auto& [address, source] : selector.sources())
+      if (selector.should_request(address, ++position, is_ready, now))
+        addresses.push_back(address);
+    for (const std::string& address : addresses)
+      request(address);
+    select();
+  }
+
   void run(Duration duration) {
     for (const TimePoint end = now + duration; now < end; now += 10ms) {
-      std::vector<FrameInFlight> arrived;
-      std::copy_if(in_flight.begin(), in_flight.end(), std::back_inserter(arrived),
-                   [&](const FrameInFlight& one) { return one.due <= now; });
-      std::erase_if(in_flight, [&](const FrameInFlight& one) { return one.due <= now; });
-      for (const FrameInFlight& one : arrived) {
-        if (!registries[one.address].is_up)
-          continue;
-        if (!one.is_answer) {
-          registries[one.address].token = one.token;
-          answer(one.address);
-          continue;
-        }
-        const bool was_confirmed = selector.is_confirmed(selector.selected(), now);
-        selector.handle_heartbeat(one.address, one.heartbeat, now);
-        selector.handle_endpoints(one.address);
-        serving = std::max(serving, one.heartbeat.version);
-        if (!is_ready || !was_confirmed)
-          select();
-      }
-      if (now >= due) {
-        selector.begin_requests(now);
-        due = now + (is_ready ? request_interval : startup_request_interval);
-        std::size_t position = 0;
-        std::vector<std::string> to;
-        for (const auto& [address, source] : selector.sources())
-          if (selector.should_request(address, ++position, is_ready, now))
-            to.push_back(address);
-        for (const std::string& address : to)
-          request(address);
-        select();
-      }
-      if (!is_ready && serving.value)
-        if ((readiness = selector.readiness(serving, now)) != ControlSourceSelector::Readiness::no)
-          is_ready = true;
+      deliver_due_frames();
+      if (now >= requests_due)
+        send_requests();
+      if (is_ready || !serving.value)
+        continue;
+      readiness = selector.readiness(serving, now);
+      is_ready = readiness != ControlSourceSelector::Readiness::no;
     }
   }
-  // How long until the feed is one with a majority behind it.
+
+  bool has_confirmed_source() const {
+    const auto found = registries.find(selector.selected());
+    return found != registries.end() && found->second.is_confirmed &&
+           selector.is_confirmed(selector.selected(), now);
+  }
+
+  // How long until the source is one with a majority behind it.
   Duration until_confirmed(Duration limit) {
     const TimePoint began = now;
-    while (now - began < limit && !(registries.contains(selector.selected()) &&
-                                    registries[selector.selected()].is_confirmed &&
-                                    selector.is_confirmed(selector.selected(), now)))
+    while (now - began < limit && !has_confirmed_source())
       run(10ms);
     return elapsed(began, now);
   }
@@ -143,7 +175,7 @@
   world.run(3s);
   cr_expect(world.readiness == ControlSourceSelector::Readiness::confirmed &&
                 world.selector.selected() == "a:1",
-            "it learnt of the near one from another");
+            "it learnt the address of the near one from another");
   const int before = world.changes;
   world.run(20s);
   cr_expect(world.changes == before, "and stays with it");
@@ -160,7 +192,7 @@
   }
 }
 
-// Its beats go on, but they answer nothing that was asked since: to be heard is not enough.
+// Its heartbeats go on, but they answer no new request: to be heard is not enough.
 Test(control_source_selector, a_source_that_does_not_receive_is_left) {
   for (const bool has_majority : {true, false})
     for (const bool is_deaf : {true, false}) {
@@ -182,15 +214,17 @@
     }
 }
 
-// All its first contacts are on the wrong side: what they tell of is tried, and nothing known is
-// dropped for it.
+// All its seeds are in the minority: the addresses that they name are tried, and no seed is dropped
+// for them.
 Test(control_source_selector, a_broker_started_in_a_minority_partition_finds_the_majority) {
   World world;
   const std::vector<std::string> core{"a:1", "b:1", "c:1", "d:1", "e:1"};
   for (const std::string& address : core)
     world.registries[address].registries = core;
-  for (const char* cut : {"a:1", "b:1"})
-    world.registries[cut].is_confirmed = false, world.registries[cut].version = Version{4};
+  for (const char* cut : {"a:1", "b:1"}) {
+    world.registries[cut].is_confirmed = false;
+    world.registries[cut].version = Version{4};
+  }
   world.selector.set_seeds({"a:1", "b:1"}, start);
   world.run(1s);
   cr_expect(world.is_ready && world.readiness == ControlSourceSelector::Readiness::confirmed &&
@@ -200,7 +234,7 @@
             "seeds are kept");
 }
 
-// The one that led is gone as well, and still counts as heard for a moment.
+// The leader is gone as well, and still counts as heard for a moment.
 Test(control_source_selector,
      a_broker_whose_registries_are_all_cut_off_tries_the_addresses_they_announce) {
   for (int point = 0; point < 16; ++point) {
@@ -236,7 +270,7 @@
   cr_expect(world.selector.selected() == "b:1" || world.selector.selected() == "c:1", "%s",
             world.selector.selected().c_str());
   cr_expect(world.selector.is_confirmed(world.selector.selected(), world.now));
-  // One that knows nobody better tells of nobody: nothing is forgotten.
+  // Registries without a majority name nobody: nothing is forgotten.
   world.registries["b:1"].is_confirmed = world.registries["c:1"].is_confirmed = false;
   world.registries["b:1"].registries = world.registries["c:1"].registries = {};
   world.run(5s);
@@ -258,8 +292,8 @@
   cr_expect(world.until_confirmed(5s) <= request_interval + world.latency * 4);
 }
 
-// The only contact answers late: what it tells of is tried before the broker goes by its word, but
-// not for ever.
+// The only seed answers late: the addresses that it names are tried before the broker serves by its
+// version, but not for ever.
 Test(control_source_selector, a_late_announced_address_extends_the_wait_only_once) {
   World world = world_of_three();
   world.registries["b:1"].is_confirmed = false;
--- a/tests/coordination/discovery/service_registry_test.cpp
+++ b/tests/coordination/discovery/service_registry_test.cpp
@@ -42,7 +42,7 @@
   return registry;
 }
 
-// Renews all but the first `silent_count` every second, and sweeps.
+// Renews all but the first `silent_count` backends every second, with eviction.
 void run_renewals(ServiceRegistry& registry, int count, int silent_count, TimePoint from,
                   Duration duration) {
   for (TimePoint now = from; now <= from + duration; now += 1s) {
@@ -67,7 +67,7 @@
 Test(service_registry, an_expired_lease_is_evicted_and_a_renewal_restores_it) {
   ServiceRegistry registry = registry_with(10);
   run_renewals(registry, 10, 1, start + 1s, 4s);
-  cr_expect(status(registry, "b0") == Status::up, "its hold has not run out");
+  cr_expect(status(registry, "b0") == Status::up, "its lease has not expired");
   run_renewals(registry, 10, 1, start + 6s, 3s);
   cr_expect(status(registry, "b0") == Status::down);
   cr_expect(registry.eviction_count() == 1);
@@ -95,7 +95,8 @@
 }
 
 Test(service_registry, a_cancel_acts_at_once_and_no_late_message_revives_the_backend) {
-  ServiceRegistry registry = registry_with(2), peer = registry_with(2);
+  ServiceRegistry registry = registry_with(2);
+  ServiceRegistry peer = registry_with(2);
   registry.apply_listing({listed("b0", Phase::emptying), listed("b1")}, start + 1s);
   cr_expect(status(registry, "b0") == Status::out_of_service);
   registry.renew("b0", start + 2s);
@@ -115,28 +116,30 @@
   registry.apply_listing({listed("b1")}, start + 2s);
   cr_expect(phase(registry, "b0") == Phase::gone);
   registry.run_eviction(start + 30s);
-  cr_expect(registry.endpoints().contains("b0"), "remembered, so that nothing late revives it");
+  cr_expect(registry.endpoints().contains("b0"),
+            "its tombstone keeps late messages from reviving it");
   registry.run_eviction(start + 70s);
   cr_expect(!registry.endpoints().contains("b0"));
 }
 
 Test(service_registry, deltas_yield_the_same_copy_as_a_complete_list) {
   ServiceRegistry registry = registry_with(5);
-  EndpointTable copy, fresh;
+  EndpointTable copy;
+  EndpointTable fresh;
   std::uint64_t revision = 0;
-  const auto follow = [&](TimePoint now) {
+  const auto fetch = [&](TimePoint now) {
     const EndpointList delta = registry.changes_since(revision, now);
     for (const Endpoint& entry : delta.entries)
       copy.merge(entry, now);
     revision = delta.revision;
     return delta.entries.size();
   };
-  cr_expect(follow(start) == 5);
-  cr_expect(follow(start) == 0);
+  cr_expect(fetch(start) == 5);
+  cr_expect(fetch(start) == 0);
   registry.apply_listing({listed("b0", Phase::emptying), listed("b1"), listed("b2"), listed("b3"),
                           listed("b4"), listed("b5")},
                          start + 1s);
-  cr_expect(follow(start + 1s) == 2);
+  cr_expect(fetch(start + 1s) == 2);
   for (const Endpoint& entry : registry.changes_since(0, start + 1s).entries)
     fresh.merge(entry, start + 1s);
   for (const auto& [id, leased] : fresh.endpoints()) {
@@ -146,7 +149,8 @@
 }
 
 Test(service_registry, a_restarted_registry_is_filled_only_by_a_complete_list) {
-  ServiceRegistry registry = registry_with(3), restarted({});
+  ServiceRegistry registry = registry_with(3);
+  ServiceRegistry restarted({});
   cr_expect(!restarted.is_filled());
   restarted.apply_replica(registry.changes_since(1, start), start);
   cr_expect(!restarted.is_filled());
@@ -158,8 +162,8 @@
 Test(service_registry, self_registered_backends_register_renew_and_cancel) {
   ServiceRegistryOptions options;
   options.has_self_registration = true;
-  ServiceRegistry here(options), there(options);
-  const TimePoint start = TimePoint{} + 1000s;
+  ServiceRegistry here(options);
+  ServiceRegistry there(options);
   Endpoint entry;
   const std::string heartbeat =
       R"({"service":"db","address":"10.0.0.1:80","zone":"z","state":"ready","store_role":"copy","call_count":4})";
@@ -167,7 +171,7 @@
   here.handle_heartbeat(entry, start);
   there.apply_replica(here.changes_since(0, start), start);
   cr_expect(there.endpoints().at("i-1").endpoint.status == Status::up);
-  // Its new role comes with a renewal that passes the roster on the way.
+  // Its new role arrives with a renewal that overtakes the list of endpoints.
   entry.call_count = 5;
   entry.is_leader = true;
   here.handle_heartbeat(entry, start + 1s);
@@ -175,7 +179,7 @@
     there.apply_renewal(item, start + 1s);
   there.apply_replica(here.changes_since(1, start + 1s), start + 1s);
   cr_expect(there.endpoints().at("i-1").endpoint.is_leader);
-  // A late call changes nothing; a cancel wins for good.
+  // A late heartbeat changes nothing; a cancel is final.
   entry.call_count = 3;
   entry.is_leader = false;
   here.handle_heartbeat(entry, start + 2s);
