--- a/src/coordination/databases/failover.h
+++ b/src/coordination/databases/failover.h
@@ -21,10 +21,11 @@
 struct FailoverOptions {
   Duration backend_heartbeat_interval{1200};  // of backends
   Duration lease{3000};                       // of poolers on the table of leads
-  Duration settle{
+  Duration takeover_wait{
       4000};  // a new leader of the core waits this long for what its forerunner gave or asked
-  Duration ask_again{150};        // of a database that did not answer
-  Duration late_promotion{4000};  // a call of duty without an answer may take effect until then
+  Duration status_retry_interval{150};  // of a database that did not answer
+  Duration max_promotion_delay{
+      4000};  // a call of duty without an answer may take effect until then
 };
 
 // A backend as the failover sees it.
@@ -37,7 +38,7 @@
 
 class Failover {
  public:
-  struct Order {  // to one database
+  struct DatabaseCommand {  // to one database
     std::uint64_t token;
     std::string id, text;
   };
@@ -46,22 +47,22 @@
     std::string service, id;
   };
   struct Output {
-    std::vector<Order> orders;
-    std::vector<PromotionCall> raises;
+    std::vector<DatabaseCommand> commands;
+    std::vector<PromotionCall> promotions;
     std::optional<LeadershipTable> proposal;  // replaces the table once agreed
-    std::vector<std::string> news;            // for the log
+    std::vector<std::string> log_lines;       // for the log
   };
 
   explicit Failover(FailoverOptions options)
-      : options_(options), leases_(options.lease, options.settle) {
+      : options_(options), leases_(options.lease, options.takeover_wait) {
   }
 
   // `is_leading`: leads the core under a lease. `table`: as committed.
   void tick(bool is_leading, const LeadershipTable& table,
-            const std::map<std::string, int>& services, const std::vector<DatabaseEndpoint>& seats,
-            TimePoint now);
-  Output take();
-  void finish_order(std::uint64_t token, std::optional<DatabaseStatus> status, TimePoint now);
+            const std::map<std::string, int>& services,
+            const std::vector<DatabaseEndpoint>& endpoints, TimePoint now);
+  Output take_output();
+  void finish_command(std::uint64_t token, std::optional<DatabaseStatus> status, TimePoint now);
   void finish_promotion(std::uint64_t token, int status, TimePoint now);  // 0: no answer
   void finish_proposal() {
     is_proposing_ = false;
@@ -69,55 +70,62 @@
 
   // Holds. A grant is for the whole table; nobody else is promoted before it was given back or ran
   // out.
-  void record_pooler(const std::string& from, IncarnationId incarnation, std::uint64_t revision,
+  void record_pooler(const std::string& pooler, IncarnationId incarnation, std::uint64_t revision,
                      const std::string& zone, const std::string& failing, const std::string& fine,
                      TimePoint now);
-  std::optional<Duration> grant(const std::string& from, IncarnationId incarnation, TimePoint now);
+  std::optional<Duration> grant(const std::string& pooler, IncarnationId incarnation,
+                                TimePoint now);
 
  private:
-  struct Witness {  // a pooler, and what it saw by the table of this mark
+  struct PoolerEvidence {  // a pooler, and what it saw by the table of this mark
     std::uint64_t revision = 0;
-    TimePoint told{};
+    TimePoint received_at{};
     std::string zone, failing, fine;
   };
-  struct Case {  // of one service under change; forgotten with the lead of the core
-    TimePoint since{}, asked_since{}, step_due{}, promoted{};  // asked_since: of the databases
-    TimePoint answered{};                                      // when a database last answered
+  struct Transition {  // of one service under change; forgotten with the lead of the core
+    TimePoint phase_started_at{}, comparison_started_at{}, next_step_at{},
+        promoted_at{};           // comparison_started_at: of the databases
+    TimePoint last_answer_at{};  // when a database last answered
     std::map<std::string, DatabaseStatus> statuses;
-    std::set<std::string> asked;
-    bool was_promoted = false, is_refused = false, is_taken = false,
-         is_asking = false;    // is_asking: a call of duty is under way
-    std::uint64_t number = 0;  // of the lead it belongs to
+    std::set<std::string> outstanding_queries;
+    bool was_promoted = false, is_promotion_refused = false, is_promotion_accepted = false,
+         is_promotion_outstanding = false;  // is_promotion_outstanding: a call of duty is under way
+    std::uint64_t number = 0;               // of the lead it belongs to
     DatabaseLeadership::Phase phase{};
     std::uint64_t term_before = 0;
   };
-  struct Pending {
+  struct PendingCommand {
     std::string service, id;
     bool is_step_down = false;
   };
-  using Seats = std::vector<const DatabaseEndpoint*>;
+  using EndpointPointers = std::vector<const DatabaseEndpoint*>;
 
-  void maintain(const std::string& service, int sync, const Seats& seats, TimePoint now);
-  void found(const std::string& service, const Seats& seats);
-  void watch(const DatabaseLeadership& lead, const Seats& seats, TimePoint now);
-  void close(const DatabaseLeadership& lead, int sync, const Seats& seats, TimePoint now);
-  void promote(const DatabaseLeadership& lead, const Seats& seats, TimePoint now);
-  void ask(const std::string& service, const std::string& id, const std::string& text,
-           bool is_step_down);
-  void change(DatabaseLeadership lead, const std::string& news);
-  bool is_given_up(std::size_t position, TimePoint now, bool& is_unseen) const;
+  void advance_service(const std::string& service, int sync, const EndpointPointers& endpoints,
+                       TimePoint now);
+  void adopt_leader(const std::string& service, const EndpointPointers& endpoints);
+  void monitor_leader(const DatabaseLeadership& leadership, const EndpointPointers& endpoints,
+                      TimePoint now);
+  void elect(const DatabaseLeadership& leadership, int sync, const EndpointPointers& endpoints,
+             TimePoint now);
+  void promote_target(const DatabaseLeadership& leadership, const EndpointPointers& endpoints,
+                      TimePoint now);
+  void send_command(const std::string& service, const std::string& id, const std::string& text,
+                    bool is_step_down);
+  void propose_change(DatabaseLeadership leadership, const std::string& log_lines);
+  bool is_abandoned(std::size_t position, TimePoint now, bool& is_unobserved) const;
 
   FailoverOptions options_;
   bool is_leading_ = false, is_proposing_ = false;
-  TimePoint led_since_{};
+  TimePoint leading_since_{};
   LeadershipTable table_;
-  std::optional<LeadershipTable> next_;
+  std::optional<LeadershipTable> proposal_;
   LeaseTable leases_;
-  std::map<std::string, Witness> witnesses_;  // by inner address
-  std::map<std::string, Case> cases_;
-  std::map<std::uint64_t, Pending> pending_;
-  std::map<std::string, TimePoint> stepped_;    // when a false leader was last told
-  std::map<std::string, std::uint64_t> terms_;  // of each service's log, as last seen of its leader
+  std::map<std::string, PoolerEvidence> evidence_;  // by inner address
+  std::map<std::string, Transition> transitions_;
+  std::map<std::uint64_t, PendingCommand> pending_;
+  std::map<std::string, TimePoint> last_step_down_;  // when a false leader was last told
+  std::map<std::string, std::uint64_t>
+      log_terms_;  // of each service's log, as last seen of its leader
   std::uint64_t last_token_ = 0;
   Output output_;
 };
--- a/src/registry/control_databases.cpp
+++ b/src/registry/control_databases.cpp
@@ -18,7 +18,7 @@
   FailoverOptions options;
   options.backend_heartbeat_interval = settings.backend_heartbeat_interval;
   options.lease = settings.leadership_lease;
-  options.settle = settings.leadership_lease + settings.election + settle_margin;
+  options.takeover_wait = settings.leadership_lease + settings.election + settle_margin;
   return options;
 }
 
@@ -85,26 +85,26 @@
       seats.push_back({id, leased.endpoint.service, leased.endpoint.zone, leased.endpoint.is_leader,
                        leased.endpoint.phase == Phase::ready, leased.last_heartbeat});
   failover_.tick(true, leaderships_, services, seats, now);
-  Failover::Output output = failover_.take();
-  for (const std::string& news : output.news)
-    LOG(INFO) << "leads: " << news;
+  Failover::Output output = failover_.take_output();
+  for (const std::string& line : output.log_lines)
+    LOG(INFO) << "leads: " << line;
   const auto address_of = [&](const std::string& id) {
     const auto line = registry_.endpoints().find(id);
     return line == registry_.endpoints().end() ? Endpoint{} : line->second.endpoint;
   };
-  for (const Failover::Order& order : output.orders) {
-    const Endpoint entry = address_of(order.id);
-    if (!dispatcher_->order({order.token,
+  for (const Failover::DatabaseCommand& command : output.commands) {
+    const Endpoint entry = address_of(command.id);
+    if (!dispatcher_->order({command.token,
                              entry.service,
-                             order.id,
+                             command.id,
                              entry.address,
-                             order.text,
+                             command.text,
                              {},
                              raft_.term().value,
                              raft_.lease_until()}))
       LOG(ERROR) << "leads: envoy is behind";
   }
-  for (const Failover::PromotionCall& promote : output.raises)
+  for (const Failover::PromotionCall& promote : output.promotions)
     if (!dispatcher_->order({promote.token,
                              promote.service,
                              promote.id,
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -175,7 +175,7 @@
   } else if (auto* backend = std::get_if<BackendCall>(&event)) {
     handle_backend_call(*backend, now);
   } else if (const auto* examined = std::get_if<Examined>(&event)) {
-    failover_.finish_order(examined->token, examined->status, now);
+    failover_.finish_command(examined->token, examined->status, now);
   } else if (const auto* told = std::get_if<NodeTold>(&event)) {
     shard_migration_.finish_order(told->token, told->answer);
   } else if (const auto* promoted = std::get_if<PromotionResult>(&event)) {
--- a/tests/coordination/databases/failover_test.cpp
+++ b/tests/coordination/databases/failover_test.cpp
@@ -17,7 +17,7 @@
 struct World {
   struct Database {
     std::string id;
-    bool is_up = true, is_leader = false, is_ready = true, is_beating = true;
+    bool is_up = true, is_leader = false, is_ready = true, is_sending_heartbeats = true;
     std::uint64_t term = 1, number = 10;
     TimePoint last_heartbeat{};
   };
@@ -26,7 +26,7 @@
     IncarnationId incarnation{1};
     LeadershipTable table;
     TimePoint until{}, due{};
-    bool is_silent = false, sees_failing = false;
+    bool is_silent = false, has_failing_requests = false;
   };
   explicit World(int sync = 0) : sync(sync) {
     for (const char* id : {"a", "b", "c"})
@@ -48,54 +48,57 @@
   void step() {
     now += 50ms;
     for (Database& database : databases)
-      if (database.is_up && database.is_beating && now - database.last_heartbeat >= 1000ms)
+      if (database.is_up && database.is_sending_heartbeats &&
+          now - database.last_heartbeat >= 1000ms)
         database.last_heartbeat = now;
-    std::vector<DatabaseEndpoint> seats;
+    std::vector<DatabaseEndpoint> endpoints;
     for (const Database& database : databases)
-      seats.push_back({database.id, "db", "here", database.is_leader, database.is_ready,
-                       database.last_heartbeat});
+      endpoints.push_back({database.id, "db", "here", database.is_leader, database.is_ready,
+                           database.last_heartbeat});
     for (Pooler& pooler : poolers) {
       if (pooler.is_silent || now < pooler.due)
         continue;
       pooler.due = now + 200ms;
       const std::string bit(1, '\1');
       failover->record_pooler(pooler.name, pooler.incarnation, pooler.table.revision, pooler.zone,
-                              pooler.sees_failing ? bit : "", pooler.sees_failing ? "" : bit, now);
+                              pooler.has_failing_requests ? bit : "",
+                              pooler.has_failing_requests ? "" : bit, now);
       if (const auto lease = failover->grant(pooler.name, pooler.incarnation, now))
         pooler.until = now + *lease - 20ms;  // asked before
       if (agreed.revision > pooler.table.revision)
         pooler.table = agreed;
     }
-    failover->tick(true, agreed, {{"db", sync}}, seats, now);
-    Failover::Output output = failover->take();
-    for (const auto& order : output.orders) {
-      if (is_struck()) {  // lost
-        failover->finish_order(order.token, std::nullopt, now);
+    failover->tick(true, agreed, {{"db", sync}}, endpoints, now);
+    Failover::Output output = failover->take_output();
+    for (const auto& command : output.commands) {
+      if (is_lost()) {
+        failover->finish_command(command.token, std::nullopt, now);
         continue;
       }
-      Database& database = at(order.id);
+      Database& database = at(command.id);
       std::optional<DatabaseStatus> status;
       if (database.is_up) {
-        if (order.text.starts_with("STEPDOWN ") &&
-            std::stoull(order.text.substr(9)) > database.term)
+        if (command.text.starts_with("STEPDOWN ") &&
+            std::stoull(command.text.substr(9)) > database.term)
           database.is_leader = false;
         status =
             DatabaseStatus{database.is_leader, database.term, {database.term, database.number}};
       }
-      failover->finish_order(order.token, status, now);
+      failover->finish_command(command.token, status, now);
     }
-    for (const auto& promote : output.raises) {
-      ++raises;
-      // Nobody may still act by the old lead, and what was acknowledged must be there.
+    for (const auto& promote : output.promotions) {
+      ++promotions;
+      // Nobody may still act by the old leadership, and what was acknowledged must be there.
       for (const Pooler& pooler : poolers) {
-        const DatabaseLeadership* lead = pooler.table.find("db");
-        cr_assert(!lead || lead->phase != DatabaseLeadership::Phase::led || pooler.until < now,
+        const DatabaseLeadership* leadership = pooler.table.find("db");
+        cr_assert(!leadership || leadership->phase != DatabaseLeadership::Phase::led ||
+                      pooler.until < now,
                   "%s may still use the old leader", pooler.name.c_str());
       }
       if (is_planned || sync)
         cr_assert(at(promote.id).number >= acknowledged, "%s lacks what was acknowledged",
                   promote.id.c_str());
-      if (is_struck()) {  // neither effect nor answer
+      if (is_lost()) {  // neither effect nor answer
         failover->finish_promotion(promote.token, 0, now);
         continue;
       }
@@ -111,40 +114,41 @@
         target.is_leader = true;
         target.term = term + 1;
       }
-      failover->finish_promotion(promote.token, is_struck() ? 0 : 200, now);
+      failover->finish_promotion(promote.token, is_lost() ? 0 : 200, now);
     }
     if (output.proposal) {
-      if (!is_struck())
+      if (!is_lost())
         agreed = *output.proposal;
-      if (is_struck())
+      if (is_lost())
         restart();  // the core's leader ends right after
       else
         failover->finish_proposal();
     }
   }
-  bool is_struck() {
-    return ++points == strike_at;
+  bool is_lost() {
+    return ++point_count == fail_at;
   }
   bool is_led_by(const std::string& id) const {
-    const DatabaseLeadership* lead = agreed.find("db");
-    return lead && lead->phase == DatabaseLeadership::Phase::led && lead->id == id;
+    const DatabaseLeadership* leadership = agreed.find("db");
+    return leadership && leadership->phase == DatabaseLeadership::Phase::led &&
+           leadership->id == id;
   }
-  bool run_until(const std::function<bool()>& is_there, int steps = 600) {
+  bool run_until(const std::function<bool()>& condition, int steps = 600) {
     while (steps-- > 0) {
       step();
-      if (is_there())
+      if (condition())
         return true;
     }
     return false;
   }
-  void settle() {
+  void run_until_stable() {
     cr_assert(run_until([&] { return is_led_by("a"); }));
     for (int count = 0; count < 150; ++count)
       step();
   }
-  void see_failing(bool is_failing) {
+  void set_failing_requests(bool is_failing) {
     for (Pooler& pooler : poolers)
-      pooler.sees_failing = is_failing;
+      pooler.has_failing_requests = is_failing;
   }
 
   FailoverOptions options;
@@ -153,33 +157,33 @@
   std::unique_ptr<Failover> failover;
   LeadershipTable agreed;
   TimePoint now = TimePoint{} + 1000s;
-  int sync, points = 0, strike_at = 0, raises = 0;
+  int sync, point_count = 0, fail_at = 0, promotions = 0;
   std::uint64_t acknowledged = 0;
   bool is_planned = false;
 };
 
 }  // namespace
 
-Test(failover, a_crashed_leader_is_replaced_by_the_copy_that_has_most) {
+Test(failover, a_crashed_leader_is_replaced_by_the_most_advanced_replica) {
   World world;
-  world.settle();
+  world.run_until_stable();
   world.at("a").is_up = false;
   world.at("b").number = 12;
-  world.see_failing(true);
+  world.set_failing_requests(true);
   cr_expect(world.run_until([&] { return world.is_led_by("b"); }));
-  cr_expect(world.raises == 1);
+  cr_expect(world.promotions == 1);
   // It returns and still thinks that it leads: it is told otherwise.
   world.at("a").is_up = true;
   cr_expect(world.run_until([&] { return !world.at("a").is_leader; }));
 }
 
-Test(failover, any_one_message_or_leader_of_the_core_may_be_lost_at_any_point) {
+Test(failover, the_loss_of_any_one_message_or_registry_leader_is_survived) {
   for (const bool is_planned : {false, true})
-    for (int strike = 1; strike <= 14; ++strike) {
+    for (int point = 1; point <= 14; ++point) {
       World world;
-      world.settle();
-      world.points = 0;
-      world.strike_at = strike;
+      world.run_until_stable();
+      world.point_count = 0;
+      world.fail_at = point;
       if (is_planned) {
         world.is_planned = true;
         world.at("a").is_ready = false;
@@ -187,91 +191,92 @@
       } else {
         world.at("a").is_up = false;
         world.at("c").number = 15;
-        world.see_failing(true);
+        world.set_failing_requests(true);
       }
-      cr_expect(world.run_until([&] { return world.is_led_by("c"); }), "strike %d, planned %d",
-                strike, is_planned);
+      cr_expect(world.run_until([&] { return world.is_led_by("c"); }), "point %d, planned %d",
+                point, is_planned);
       int leaders = 0;
       for (const auto& database : world.databases)
         leaders += database.is_up && database.is_leader && database.term == 2;
-      cr_expect(leaders == 1, "strike %d", strike);
+      cr_expect(leaders == 1, "point %d", point);
     }
 }
 
-Test(failover, a_planned_change_waits_for_a_copy_that_has_everything) {
+Test(failover, a_planned_switchover_waits_for_a_caught_up_replica) {
   World world;
-  world.settle();
+  world.run_until_stable();
   world.is_planned = true;
   world.at("a").number = world.acknowledged = 20;
   world.at("a").is_ready = false;
   for (int count = 0; count < 15; ++count)
     world.step();
-  cr_expect(world.raises == 0);
+  cr_expect(world.promotions == 0);
   world.at("b").number = 20;
   cr_expect(world.run_until([&] { return world.is_led_by("b"); }));
 }
 
-Test(failover, with_sync_every_copy_is_heard_first) {
+Test(failover, with_synchronous_replication_every_replica_is_asked_first) {
   World world(1);
-  world.settle();
+  world.run_until_stable();
   world.at("a").is_up = world.at("c").is_up = false;
   world.at("c").number = world.acknowledged = 30;  // it alone holds a commit
-  world.see_failing(true);
+  world.set_failing_requests(true);
   for (int count = 0; count < 200; ++count)
     world.step();
-  cr_expect(world.raises == 0);
+  cr_expect(world.promotions == 0);
   world.at("c").is_up = true;
   cr_expect(world.run_until([&] { return world.is_led_by("c"); }));
 }
 
-Test(failover, a_silent_pooler_is_waited_for_until_its_hold_has_run_out) {
+Test(failover, a_silent_pooler_is_waited_for_until_its_lease_expires) {
   World world;
-  world.settle();
+  world.run_until_stable();
   world.poolers[2].is_silent = true;
   world.at("a").is_up = false;
-  world.see_failing(true);
+  world.set_failing_requests(true);
   const TimePoint since = world.poolers[2].until;
-  cr_expect(world.run_until([&] { return world.raises > 0; }));
+  cr_expect(world.run_until([&] { return world.promotions > 0; }));
   cr_expect(world.now > since);
 }
 
-Test(failover, neither_missing_beats_nor_failing_requests_alone_suffice) {
+Test(failover, missing_heartbeats_or_failing_requests_alone_cause_no_failover) {
   World silent;
-  silent.settle();
-  silent.at("a").is_beating = false;  // cut off from the core; poolers reach it
+  silent.run_until_stable();
+  silent.at("a").is_sending_heartbeats = false;  // cut off from the core; poolers reach it
   for (int count = 0; count < 200; ++count)
     silent.step();
-  cr_expect(silent.is_led_by("a") && silent.raises == 0);
+  cr_expect(silent.is_led_by("a") && silent.promotions == 0);
   World failing;
-  failing.settle();
-  failing.see_failing(true);
+  failing.run_until_stable();
+  failing.set_failing_requests(true);
   for (int count = 0; count < 200; ++count)
     failing.step();
-  cr_expect(failing.is_led_by("a") && failing.raises == 0);
+  cr_expect(failing.is_led_by("a") && failing.promotions == 0);
   World local;
-  local.settle();
-  local.at("a").is_beating = false;
-  local.poolers[1].sees_failing = local.poolers[2].sees_failing = true;  // one locality alone
+  local.run_until_stable();
+  local.at("a").is_sending_heartbeats = false;
+  local.poolers[1].has_failing_requests = local.poolers[2].has_failing_requests =
+      true;  // one locality alone
   for (int count = 0; count < 200; ++count)
     local.step();
-  cr_expect(local.is_led_by("a") && local.raises == 0);
+  cr_expect(local.is_led_by("a") && local.promotions == 0);
 }
 
-Test(failover, a_leader_that_is_back_before_another_was_raised_goes_on) {
+Test(failover, a_leader_that_returns_before_the_promotion_stays) {
   World world;
-  world.settle();
+  world.run_until_stable();
   world.at("a").is_up = false;
-  world.see_failing(true);
+  world.set_failing_requests(true);
   world.poolers[2].is_silent = true;  // its hold keeps the change waiting
   cr_expect(world.run_until(
       [&] { return world.agreed.find("db")->phase == DatabaseLeadership::Phase::closing; }));
   world.at("a").is_up = true;
-  world.see_failing(false);
+  world.set_failing_requests(false);
   cr_expect(world.run_until([&] { return world.is_led_by("a"); }));
-  cr_expect(world.raises == 0);
+  cr_expect(world.promotions == 0);
 }
 
-Test(samples, a_place_is_never_taken_for_younger_than_it_is) {
+Test(log_position_samples, a_position_is_never_taken_for_newer_than_it_is) {
   LogPositionSamples own, other;
   const TimePoint start = TimePoint{} + 1000s;
   own.note("db", 3, {1, 40}, start);
@@ -279,6 +284,6 @@
   cr_assert(other.take(told, start + 250ms));  // the asking left before the ages were counted
   cr_expect(!other.find("db", 3, start).is_known(), "it may be older than the moment asked for");
   cr_expect(other.find("db", 3, start - 60ms) == LogPosition({1, 40}));
-  cr_expect(!other.find("db", 4, start - 60ms).is_known(), "of another lead");
+  cr_expect(!other.find("db", 4, start - 60ms).is_known(), "of another leadership");
   cr_expect(!other.take(told.substr(0, told.size() - 3), start));
 }
