--- a/src/coordination/databases/failover.h
+++ b/src/coordination/databases/failover.h
@@ -1,9 +1,19 @@
 #pragma once
-// Who leads each database, decided by the leader of the core. Pure: beats, evidence, outcomes and a
-// clock in; orders to databases, calls of duty and proposals out. Every step can be done again:
-// what is agreed is in the table of leads, and the rest is asked from the databases.
+// Decides which database leads each service, and replaces a leader that is lost or leaves.
 //
-//   led -> closing -> raising -> led        closing -> led, if the old leader is there after all
+// Job: the leader of the registries feeds it heartbeats of databases, reports of poolers, results
+// of its commands and the time; out come commands to databases, promotion calls to the platform and
+// proposals of a new leadership table. It sends nothing itself. Every step can be repeated: what is
+// agreed stands in the leadership table, the rest is asked from the databases again.
+//
+//   led -> closing -> raising -> led        closing -> led, if the former leader is there after all
+//
+// closing: the former leader is fenced. Once no pooler has a lease on an older table, the logs of
+// the replicas are compared and the most advanced one is elected. raising: the platform is asked to
+// promote it.
+// Threading: not synchronized; owned by the registry's control loop.
+// Source: docs/design/pooler.md; fencing by leases after Gray and Cheriton, "Leases" (1989).
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -11,6 +21,7 @@
 #include <string>
 #include <vector>
 
+#include "coordination/databases/pooler_evidence.h"
 #include "coordination/leases/lease_table.h"
 #include "protocol/database_protocol.h"
 #include "state/leadership_table.h"
@@ -19,113 +30,182 @@
 namespace saddlewing {
 
 struct FailoverOptions {
-  Duration backend_heartbeat_interval{1200};  // of backends
-  Duration lease{3000};                       // of poolers on the table of leads
-  Duration takeover_wait{
-      4000};  // a new leader of the core waits this long for what its forerunner gave or asked
-  Duration status_retry_interval{150};  // of a database that did not answer
-  Duration max_promotion_delay{
-      4000};  // a call of duty without an answer may take effect until then
+  // How often databases send heartbeats. Timeouts for silent ones are multiples of it.
+  Duration backend_heartbeat_interval{1200};
+
+  // How long a pooler may act by the leadership table after a grant. A longer one delays failover
+  // when a pooler is silent.
+  Duration lease{3000};
+
+  // How long a new leader of the registries waits for leases and commands of its predecessor to
+  // end; longer than `lease`.
+  Duration takeover_wait{4000};
+
+  // After which a database that did not answer is asked again.
+  Duration status_retry_interval{150};
+
+  // A promotion call without a result may take effect until then; no other database is elected
+  // before.
+  Duration max_promotion_delay{4000};
 };
 
-// A backend as the failover sees it.
+// A database as the registry of backends knows it.
 struct DatabaseEndpoint {
-  std::string id, service, zone;
+  std::string id;
+  std::string service;
+  std::string zone;
   bool is_leader = false;      // as it says itself
-  bool is_ready = false;       // not emptying
-  TimePoint last_heartbeat{};  // when it was last heard
+  bool is_ready = false;       // serving, not emptying
+  TimePoint last_heartbeat{};  // when it arrived
 };
 
+// Invariants: no database is promoted while a pooler may act by a table that names another as led;
+// of each service at most one promotion is under way; at most one proposal is.
 class Failover {
  public:
-  struct DatabaseCommand {  // to one database
-    std::uint64_t token;
-    std::string id, text;
+  // STATUS or STEPDOWN, for one database.
+  struct DatabaseCommand {
+    std::uint64_t token;  // for finish_command
+    std::string id;       // of the database
+    std::string text;
   };
-  struct PromotionCall {  // the call of duty
-    std::uint64_t token;
-    std::string service, id;
+
+  // Asks the platform to promote a database.
+  struct PromotionCall {
+    std::uint64_t token;  // for finish_promotion
+    std::string service;
+    std::string id;  // of the database
   };
+
+  // What is to be done after a tick.
   struct Output {
     std::vector<DatabaseCommand> commands;
     std::vector<PromotionCall> promotions;
-    std::optional<LeadershipTable> proposal;  // replaces the table once agreed
-    std::vector<std::string> log_lines;       // for the log
+    std::optional<LeadershipTable> proposal;  // to replace the table once agreed
+    std::vector<std::string> log_lines;
   };
 
   explicit Failover(FailoverOptions options)
       : options_(options), leases_(options.lease, options.takeover_wait) {
   }
 
-  // `is_leading`: leads the core under a lease. `table`: as committed.
+  // Advances every service.
+  // `is_leading`: this registry leads under a lease. `table`: as committed. `services`: by name,
+  // how many replicas acknowledge a commit (0: asynchronous replication). `endpoints`: the
+  // databases.
   void tick(bool is_leading, const LeadershipTable& table,
             const std::map<std::string, int>& services,
             const std::vector<DatabaseEndpoint>& endpoints, TimePoint now);
+
+  // What has accumulated since the last call.
   Output take_output();
+
+  // The result of a command; no status: the database did not answer.
   void finish_command(std::uint64_t token, std::optional<DatabaseStatus> status, TimePoint now);
-  void finish_promotion(std::uint64_t token, int status, TimePoint now);  // 0: no answer
+
+  // The result of a promotion call. `status`: of the HTTP response; 0: none came.
+  void finish_promotion(std::uint64_t token, int status, TimePoint now);
+
+  // The proposal was agreed or rejected; the table tells which.
   void finish_proposal() {
     is_proposing_ = false;
-  }  // agreed or not: the table tells
+  }
 
-  // Holds. A grant is for the whole table; nobody else is promoted before it was given back or ran
-  // out.
+  // A pooler acts by this revision of the table, and reports what it saw.
+  // `pooler`: its inner address. `failing`, `fine`: see PoolerEvidence::Report.
   void record_pooler(const std::string& pooler, IncarnationId incarnation, std::uint64_t revision,
                      const std::string& zone, const std::string& failing, const std::string& fine,
                      TimePoint now);
+
+  // Grants a pooler a lease on the whole table; returns its duration, nothing while not leading.
   std::optional<Duration> grant(const std::string& pooler, IncarnationId incarnation,
                                 TimePoint now);
 
  private:
-  struct PoolerEvidence {  // a pooler, and what it saw by the table of this mark
-    std::uint64_t revision = 0;
-    TimePoint received_at{};
-    std::string zone, failing, fine;
-  };
-  struct Transition {  // of one service under change; forgotten with the lead of the core
-    TimePoint phase_started_at{}, comparison_started_at{}, next_step_at{},
-        promoted_at{};           // comparison_started_at: of the databases
-    TimePoint last_answer_at{};  // when a database last answered
-    std::map<std::string, DatabaseStatus> statuses;
-    std::set<std::string> outstanding_queries;
-    bool was_promoted = false, is_promotion_refused = false, is_promotion_accepted = false,
-         is_promotion_outstanding = false;  // is_promotion_outstanding: a call of duty is under way
-    std::uint64_t number = 0;               // of the lead it belongs to
-    DatabaseLeadership::Phase phase{};
-    std::uint64_t term_before = 0;
+  // Progress within one phase of a service; lost with the leadership of the registries.
+  struct Transition {
+    std::uint64_t number = 0;                        // of the leadership that it belongs to
+    TimePoint phase_started_at{};                    // when that was first seen
+    TimePoint comparison_started_at{};               // of the replicas' logs
+    TimePoint next_step_at{};                        // no query or promotion before
+    std::map<std::string, DatabaseStatus> statuses;  // by database id, the newest of each
+    std::set<std::string> outstanding_queries;       // database ids
+    TimePoint last_answer_at{};                      // of any database
+    bool was_promoted = false;                       // a promotion was called for
+    bool is_promotion_outstanding = false;           // its result is
+    bool is_promotion_accepted = false;
+    bool is_promotion_refused = false;
+    TimePoint promoted_at{};  // when the last promotion was called for, or its result came
   };
+
   struct PendingCommand {
-    std::string service, id;
+    std::string service;
+    std::string id;
     bool is_step_down = false;
   };
-  using EndpointPointers = std::vector<const DatabaseEndpoint*>;
 
+  // The replicas' logs, as far as they have answered.
+  struct Comparison {
+    const DatabaseEndpoint* best = nullptr;  // leading, else most advanced; null: none answered
+    DatabaseStatus best_status;
+    std::size_t replica_count = 0;
+    std::size_t answer_count = 0;
+  };
+
+  using EndpointPointers = std::vector<const DatabaseEndpoint*>;  // of one service
+
+  void start_leading(TimePoint now);
+  Transition& current_transition(const DatabaseLeadership& leadership, TimePoint now);
   void advance_service(const std::string& service, int sync, const EndpointPointers& endpoints,
                        TimePoint now);
+  void send_command(const std::string& service, const std::string& id, const std::string& text,
+                    bool is_step_down);
+  void propose_change(DatabaseLeadership leadership, const std::string& log_line);
+  void propose_leader(DatabaseLeadership leadership, const std::string& id,
+                      const std::string& log_line);
+  void propose_closing(DatabaseLeadership leadership, bool is_planned, const std::string& log_line);
+
+  // Phase led.
   void adopt_leader(const std::string& service, const EndpointPointers& endpoints);
   void monitor_leader(const DatabaseLeadership& leadership, const EndpointPointers& endpoints,
                       TimePoint now);
+  void step_down_others(const DatabaseLeadership& leadership, const EndpointPointers& endpoints,
+                        TimePoint now);
+  bool has_successor(const DatabaseLeadership& leadership, const EndpointPointers& endpoints,
+                     TimePoint now) const;
+  bool is_leader_lost(const DatabaseLeadership& leadership, Duration silence, TimePoint now) const;
+
+  // Phases closing and raising; in failover_election.cpp.
   void elect(const DatabaseLeadership& leadership, int sync, const EndpointPointers& endpoints,
              TimePoint now);
+  void query_databases(const DatabaseLeadership& leadership, const EndpointPointers& endpoints,
+                       TimePoint now);
+  Comparison compare_replicas(const DatabaseLeadership& leadership,
+                              const EndpointPointers& endpoints) const;
+  bool is_elected(const Comparison& comparison, const DatabaseStatus* former, int sync,
+                  Duration waited) const;
+  bool has_former_leader_returned(const DatabaseLeadership& leadership,
+                                  const DatabaseStatus* former, const EndpointPointers& endpoints,
+                                  TimePoint now) const;
+  void propose_former_leader(DatabaseLeadership leadership);
   void promote_target(const DatabaseLeadership& leadership, const EndpointPointers& endpoints,
                       TimePoint now);
-  void send_command(const std::string& service, const std::string& id, const std::string& text,
-                    bool is_step_down);
-  void propose_change(DatabaseLeadership leadership, const std::string& log_lines);
-  bool is_abandoned(std::size_t position, TimePoint now, bool& is_unobserved) const;
+  bool is_target_lost(const DatabaseLeadership& leadership, const EndpointPointers& endpoints,
+                      TimePoint now) const;
+  void call_promotion(const DatabaseLeadership& leadership, TimePoint now);
 
   FailoverOptions options_;
-  bool is_leading_ = false, is_proposing_ = false;
+  bool is_leading_ = false;
+  bool is_proposing_ = false;
   TimePoint leading_since_{};
-  LeadershipTable table_;
-  std::optional<LeadershipTable> proposal_;
-  LeaseTable leases_;
-  std::map<std::string, PoolerEvidence> evidence_;  // by inner address
-  std::map<std::string, Transition> transitions_;
-  std::map<std::uint64_t, PendingCommand> pending_;
-  std::map<std::string, TimePoint> last_step_down_;  // when a false leader was last told
-  std::map<std::string, std::uint64_t>
-      log_terms_;  // of each service's log, as last seen of its leader
+  LeadershipTable table_;                    // as committed
+  std::optional<LeadershipTable> proposal_;  // as changed by the running tick
+  LeaseTable leases_;                        // of poolers, on the leadership table
+  PoolerEvidence evidence_;
+  std::map<std::string, Transition> transitions_;    // by service
+  std::map<std::uint64_t, PendingCommand> pending_;  // by token
+  std::map<std::string, TimePoint> last_step_down_;  // by database id
+  std::map<std::string, std::uint64_t> log_terms_;   // by service, as last seen of its leader
   std::uint64_t last_token_ = 0;
   Output output_;
 };
--- /dev/null
+++ b/src/coordination/databases/failover_election.cpp
@@ -0,0 +1,196 @@
+// Election of a database and its promotion: the phases closing and raising.
+#include <algorithm>
+#include <tuple>
+#include <utility>
+
+#include "coordination/databases/failover.h"
+
+namespace saddlewing {
+namespace {
+
+// While the former leader is reachable, its most advanced replica has so long to catch up with it.
+constexpr Duration max_catch_up_wait{1500};
+
+// In status retry intervals: without synchronous replication, an election waits so long for
+// replicas that do not answer.
+constexpr int answer_wait_intervals = 3;
+
+// In heartbeat intervals: a database that was silent for longer is not asked.
+constexpr int max_silent_intervals = 20;
+
+constexpr Duration promotion_retry_interval{400};  // after a call without a result
+constexpr Duration promotion_timeout{2500};        // after a call that the platform accepted
+
+// A target whose heartbeats are missing so long after its election is given up.
+constexpr Duration target_timeout{2500};
+
+const DatabaseStatus* find_status(const std::map<std::string, DatabaseStatus>& statuses,
+                                  const std::string& id) {
+  const auto found = statuses.find(id);
+  return found == statuses.end() ? nullptr : &found->second;
+}
+
+// A leader ranks above all replicas; among these the more advanced log does.
+bool is_better(const DatabaseStatus& left, const DatabaseStatus& right) {
+  return std::tuple(left.is_leader, left.position) > std::tuple(right.is_leader, right.position);
+}
+
+}  // namespace
+
+void Failover::query_databases(const DatabaseLeadership& leadership,
+                               const EndpointPointers& endpoints, TimePoint now) {
+  Transition& transition = transitions_[leadership.service];
+  if (now < transition.next_step_at)
+    return;
+  transition.next_step_at = now + options_.status_retry_interval;
+  for (const DatabaseEndpoint* endpoint : endpoints) {
+    const bool is_silent = now - endpoint->last_heartbeat >=
+                           options_.backend_heartbeat_interval * max_silent_intervals;
+    if (is_silent || !transition.outstanding_queries.insert(endpoint->id).second)
+      continue;
+    send_command(leadership.service, endpoint->id, "STATUS", false);
+  }
+}
+
+Failover::Comparison Failover::compare_replicas(const DatabaseLeadership& leadership,
+                                                const EndpointPointers& endpoints) const {
+  const Transition& transition = transitions_.at(leadership.service);
+  Comparison comparison;
+  for (const DatabaseEndpoint* endpoint : endpoints) {
+    if (endpoint->id == leadership.id)
+      continue;
+    ++comparison.replica_count;
+    const DatabaseStatus* status = find_status(transition.statuses, endpoint->id);
+    if (!status)
+      continue;
+    ++comparison.answer_count;
+    // A replica that is emptying counts as an answer, but is not elected.
+    if (!endpoint->is_ready && !status->is_leader)
+      continue;
+    if (comparison.best && !is_better(*status, comparison.best_status))
+      continue;
+    comparison.best = endpoint;
+    comparison.best_status = *status;
+  }
+  return comparison;
+}
+
+// `former`: the status of the former leader; null: it does not answer. `waited`: since the
+// comparison began.
+bool Failover::is_elected(const Comparison& comparison, const DatabaseStatus* former, int sync,
+                          Duration waited) const {
+  if (!comparison.best)
+    return false;
+  const bool has_everything = former && comparison.best_status.position >= former->position;
+  if (former && !has_everything && waited < max_catch_up_wait)
+    return false;
+  if (comparison.answer_count == comparison.replica_count)
+    return true;
+  // With synchronous replication a replica that does not answer may alone have a commit.
+  return sync <= 0 && waited >= options_.status_retry_interval * answer_wait_intervals;
+}
+
+// Nobody may use the former leader any more. Once no pooler can, the logs are compared: what was
+// acknowledged by then does not change any more, so that no replica has to be paused for it.
+void Failover::elect(const DatabaseLeadership& leadership, int sync,
+                     const EndpointPointers& endpoints, TimePoint now) {
+  if (leases_.has_lease_before(leadership.revision, now))
+    return;
+  Transition& transition = transitions_[leadership.service];
+  if (transition.is_promotion_outstanding ||
+      (transition.was_promoted && now - transition.promoted_at < options_.max_promotion_delay))
+    return;  // an earlier call may still take effect
+  if (transition.comparison_started_at == TimePoint{})
+    transition.comparison_started_at = now;
+  query_databases(leadership, endpoints, now);
+  const std::string& service = leadership.service;
+  const DatabaseStatus* former = find_status(transition.statuses, leadership.id);
+  const Comparison comparison = compare_replicas(leadership, endpoints);
+  const DatabaseStatus& best = comparison.best_status;
+  // Another leads a later term already: an earlier promotion took effect.
+  if (comparison.best && best.is_leader && (!former || best.term > former->term)) {
+    log_terms_[service] = best.term;
+    const std::string& id = comparison.best->id;
+    return propose_leader(leadership, id, service + " is led by " + id + " already");
+  }
+  if (!leadership.is_planned && has_former_leader_returned(leadership, former, endpoints, now))
+    return propose_former_leader(leadership);
+  if (!is_elected(comparison, former, sync, elapsed(transition.comparison_started_at, now)))
+    return;
+  DatabaseLeadership next = leadership;
+  next.phase = DatabaseLeadership::Phase::raising;
+  next.target = comparison.best->id;
+  propose_change(std::move(next), service + ": " + comparison.best->id + " at " +
+                                      best.position.text() + " is to lead");
+}
+
+bool Failover::has_former_leader_returned(const DatabaseLeadership& leadership,
+                                          const DatabaseStatus* former,
+                                          const EndpointPointers& endpoints, TimePoint now) const {
+  if (!former || !former->is_leader)
+    return false;
+  return std::any_of(endpoints.begin(), endpoints.end(), [&](const DatabaseEndpoint* endpoint) {
+    return endpoint->id == leadership.id && endpoint->is_ready &&
+           now - endpoint->last_heartbeat < options_.backend_heartbeat_interval * 5 / 4;
+  });
+}
+
+void Failover::propose_former_leader(DatabaseLeadership leadership) {
+  leadership.phase = DatabaseLeadership::Phase::led;
+  const std::string log_line = leadership.service + " is led by " + leadership.id + " as before";
+  propose_change(std::move(leadership), log_line);
+}
+
+void Failover::call_promotion(const DatabaseLeadership& leadership, TimePoint now) {
+  Transition& transition = transitions_[leadership.service];
+  if (transition.is_promotion_outstanding)
+    return;
+  const Duration interval =
+      transition.is_promotion_accepted ? promotion_timeout : promotion_retry_interval;
+  if (transition.was_promoted && now - transition.promoted_at < interval)
+    return;
+  transition.was_promoted = true;
+  transition.is_promotion_outstanding = true;
+  transition.promoted_at = now;
+  ++last_token_;
+  pending_[last_token_] = {leadership.service, leadership.target, false};
+  output_.promotions.push_back({last_token_, leadership.service, leadership.target});
+}
+
+bool Failover::is_target_lost(const DatabaseLeadership& leadership,
+                              const EndpointPointers& endpoints, TimePoint now) const {
+  const auto found = std::find_if(
+      endpoints.begin(), endpoints.end(),
+      [&](const DatabaseEndpoint* endpoint) { return endpoint->id == leadership.target; });
+  if (found == endpoints.end())
+    return true;
+  return now - transitions_.at(leadership.service).phase_started_at > target_timeout &&
+         now - (*found)->last_heartbeat > options_.backend_heartbeat_interval * 2;
+}
+
+void Failover::promote_target(const DatabaseLeadership& leadership,
+                              const EndpointPointers& endpoints, TimePoint now) {
+  if (leases_.has_lease_before(leadership.revision, now))
+    return;
+  const std::string& service = leadership.service;
+  const std::string& target = leadership.target;
+  Transition& transition = transitions_[service];
+  const DatabaseStatus* status = find_status(transition.statuses, target);
+  if (status && status->is_leader) {
+    log_terms_[service] = status->term;
+    return propose_leader(
+        leadership, target,
+        service + " is led by " + target + " in term " + std::to_string(status->term));
+  }
+  if (transition.is_promotion_refused || is_target_lost(leadership, endpoints, now))
+    return propose_closing(leadership, leadership.is_planned,
+                           service + ": " + target + " can't take the lead");
+  if (now < transition.next_step_at)
+    return;
+  transition.next_step_at = now + options_.status_retry_interval;
+  call_promotion(leadership, now);
+  if (transition.outstanding_queries.insert(target).second)
+    send_command(service, target, "STATUS", false);
+}
+
+}  // namespace saddlewing
