--- a/src/broker/broker_delegated_gather.cpp
+++ b/src/broker/broker_delegated_gather.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 std::string BrokerLoop::region_of_delegate(const std::string& address) const {
-  for (const BrokerEndpoint& seat : view_->seats)
+  for (const BrokerEndpoint& seat : view_->remote_brokers)
     if (seat.address == address)
       return seat.region;
   return {};
@@ -39,7 +39,7 @@
         }))
       lacking.push_back(index);
   }
-  if (lacking.size() < min_parts || view_->seats.empty())
+  if (lacking.size() < min_parts || view_->remote_brokers.empty())
     return {};
   if (const auto own = contexts_.find(&proxied_request);
       own == contexts_.end() || own->second->ring)
@@ -50,7 +50,7 @@
   const BrokerEndpoint* best = nullptr;
   double best_cost = 0;
   std::unordered_map<std::string, std::vector<std::size_t>> by_region;
-  for (const BrokerEndpoint& seat : view_->seats) {
+  for (const BrokerEndpoint& seat : view_->remote_brokers) {
     DelegateBroker& aide = delegates_[seat.address];
     if (aide.breaker.is_open(now))
       continue;
@@ -134,7 +134,7 @@
     return handle_gather_request(*in, now);
   const auto* lost = std::get_if<DelegationLost>(&event);
   auto* came = std::get_if<DelegationResult>(&event);
-  const auto call = delegations_.find(lost ? lost->token : came->aided.token);
+  const auto call = delegations_.find(lost ? lost->token : came->result.token);
   if (call == delegations_.end())
     return;
   const auto found = contexts_.find(call->second.requester);
@@ -154,18 +154,18 @@
     const auto position = [&](std::uint64_t& part) {
       part = part < parts.size() ? parts[part] : ~0ull;
     };
-    for (GatherResult::Done& done : came->aided.done)
+    for (GatherResult::Done& done : came->result.done)
       position(done.part);
-    for (GatherResult::Failed& failed : came->aided.failed)
+    for (GatherResult::Failed& failed : came->result.failed)
       position(failed.part);
     aide.breaker.succeed();
     count_edge("", region_of_delegate(call->second.to), EdgeClass::light, took, false);
     const double way =
-        std::max(0.0, static_cast<double>(took.count()) - static_cast<double>(came->aided.held));
+        std::max(0.0, static_cast<double>(took.count()) - static_cast<double>(came->result.held));
     aide.way_ms = aide.way_ms == 0 ? way : aide.way_ms * 0.9 + way * 0.1;
     aide.mean_ms = aide.mean_ms == 0 ? static_cast<double>(took.count())
                                      : aide.mean_ms * 0.9 + static_cast<double>(took.count()) * 0.1;
-    context->proxied_request->handle_gather_result(std::move(came->aided), took, now);
+    context->proxied_request->handle_gather_result(std::move(came->result), took, now);
   }
   arrange(*context);
 }
@@ -173,7 +173,7 @@
 // Another broker's asking: backends of this region, once each.
 void BrokerLoop::handle_gather_request(DelegationRequested& in, TimePoint now) {
   metrics().add(Metric::aids);
-  GatherRequest& aid = in.aid;
+  GatherRequest& aid = in.request;
   auto context = std::make_shared<RequestContext>(*this, ExchangeId{});
   context->routing_id = std::move(in.routing_id);
   context->method = std::move(aid.method);
--- a/src/broker/broker_edges.cpp
+++ b/src/broker/broker_edges.cpp
@@ -25,7 +25,7 @@
   traffic.timers_.set(*this, now + count_every);
 }
 
-void BrokerLoop::take_edges(EdgeNews news, TimePoint now) {
+void BrokerLoop::take_edges(EdgeUpdate news, TimePoint now) {
   const std::uint64_t before = edge_selector_.serving()->revision;
   if (news.view)
     edge_selector_.take(std::move(news.view));
--- a/src/broker/broker_loop.cpp
+++ b/src/broker/broker_loop.cpp
@@ -122,9 +122,9 @@
       if (!alerts_.is_empty())
         alert_clock_.on_due(now);
     }
-    for (RingNews& news : ring_news_.take())
+    for (RingUpdate& news : ring_news_.take())
       take_ring(std::move(news), now);
-    for (EdgeNews& news : edge_news_.take())
+    for (EdgeUpdate& news : edge_news_.take())
       take_edges(std::move(news), now);
     for (DelegationEvent& event : delegation_events_.take())
       handle_delegation_event(event, now);
--- a/src/broker/broker_loop.h
+++ b/src/broker/broker_loop.h
@@ -110,10 +110,10 @@
   void set_follower(ControlPlaneClient& follower) {
     control_client_ = &follower;
   }
-  void turn_ring(RingNews news) {
+  void turn_ring(RingUpdate news) {
     ring_news_.push(std::move(news));
   }
-  void turn_edges(EdgeNews news) {
+  void turn_edges(EdgeUpdate news) {
     edge_news_.push(std::move(news));
   }
   void leave() {
@@ -135,7 +135,7 @@
   void answer(ProxiedRequest& proxied_request, FinalAnswer answer, TimePoint now) override;
   RetryBudget& budget(const std::string& service) override;
   double reserve(TimePoint now) override {
-    return view_->reserve.available(now);
+    return view_->retry_quota.available(now);
   }
   PickResult pick(const std::vector<BackendPointer>& backends,
                   const std::vector<const Backend*>& tried, int max_connections, TimePoint now,
@@ -182,7 +182,7 @@
   bool restart(const RequestContextPointer& context, std::size_t part, TimePoint now);
   bool position(ServerExchange& exchange, const Route& route, RequestContext& context,
                 std::optional<ServiceIndex>& service, TimePoint now);
-  void take_ring(RingNews news, TimePoint now);
+  void take_ring(RingUpdate news, TimePoint now);
   void leave_place(const RequestContext& context, TimePoint now);
   void report_ring();
   bool is_near(const Backend& backend, const std::string& region, TimePoint now) const;
@@ -210,7 +210,7 @@
   };
   static constexpr std::size_t max_waiting = 256;
   // The shared view of edges.
-  void take_edges(EdgeNews news, TimePoint now);
+  void take_edges(EdgeUpdate news, TimePoint now);
   void mark_edges();
   std::string region_of_delegate(const std::string& address) const;
   void count_edge(const std::string& service, const std::string& zone, EdgeClass kind,
@@ -276,7 +276,7 @@
   std::vector<std::unique_ptr<BackendConnection>> closed_connections_;
   std::vector<RequestContextPointer> ended_contexts_;
   ControlPlaneClient* control_client_ = nullptr;
-  BoundedQueue<RingNews> ring_news_;
+  BoundedQueue<RingUpdate> ring_news_;
   RingRouter gate_;
   RingCounts ring_counts_;
   TimePoint ring_reported_{};
@@ -284,7 +284,7 @@
   BoundedQueue<std::vector<AlertRule>> alert_rules_;
   Alerts alerts_;
   AlertClock alert_clock_{*this};
-  BoundedQueue<EdgeNews> edge_news_;
+  BoundedQueue<EdgeUpdate> edge_news_;
   EdgeSelector edge_selector_;
   EdgeCounts edge_counts_{4096};
   EdgeClock edge_clock_{*this};
--- a/src/broker/broker_program.cpp
+++ b/src/broker/broker_program.cpp
@@ -3,9 +3,9 @@
 
 #include <random>
 
+#include "broker/broker_loop.h"
 #include "commands/commands.h"
 #include "process/signals.h"
-#include "broker/broker_loop.h"
 
 namespace saddlewing {
 
@@ -22,9 +22,10 @@
   ControlPlaneClient follower(
       settings, incarnation, [&traffic](ViewSnapshot view) { traffic.show(std::move(view)); },
       [&traffic](DelegationEvent event) { traffic.tell(std::move(event)); });
-  follower.set_ring([&traffic](RingNews news) { traffic.turn_ring(std::move(news)); });
+  follower.set_ring_listener([&traffic](RingUpdate news) { traffic.turn_ring(std::move(news)); });
   if (settings.has_edges)
-    follower.set_edges([&traffic](EdgeNews news) { traffic.turn_edges(std::move(news)); });
+    follower.set_edge_listener(
+        [&traffic](EdgeUpdate news) { traffic.turn_edges(std::move(news)); });
   traffic.set_follower(follower);
   traffic.set_sender([&follower](DelegationMessage out) { return follower.send(std::move(out)); });
   for (const Error& found : {follower.open(), traffic.open()})
@@ -37,7 +38,7 @@
   traffic.start();
   LOG(INFO) << "broker: started as " << settings.node_name;
   signals.serve(startup_path, false, [&](const NodeSettings& changed) {
-    follower.set_contacts(changed.contacts);
+    follower.set_seeds(changed.contacts);
     traffic.read_alerts(changed.alert_rules);
   });
   follower.set_leaving();
--- a/src/broker/broker_ring.cpp
+++ b/src/broker/broker_ring.cpp
@@ -114,7 +114,7 @@
   waiting->answer(come_back(), now);
 }
 
-void BrokerLoop::take_ring(RingNews news, TimePoint now) {
+void BrokerLoop::take_ring(RingUpdate news, TimePoint now) {
   gate_.set_lease(news.until);
   gate_.take(std::move(news.view));
   if (control_client_)
--- a/src/control_client/control_plane_client.cpp
+++ b/src/control_client/control_plane_client.cpp
@@ -11,31 +11,33 @@
 namespace saddlewing {
 namespace {
 
-constexpr Duration fetch_again{600},
-    max_fetch_duration{2400};        // a body that did not come is asked for again, elsewhere
-constexpr Duration feed_grace{120};  // for the nearest registry to hold what a farther one tells of
-constexpr std::size_t max_body_wait = max_configuration;
-constexpr Duration eager_follow{50};                  // until it is ready
-constexpr std::size_t max_steps = 64, max_aides = 4;  // max_aides: of one region
+constexpr Duration fetch_retry_interval{600},
+    max_fetch_interval{2400};  // a body that did not come is asked for again, elsewhere
+constexpr Duration source_grace{
+    120};  // for the nearest registry to hold what a farther one tells of
+constexpr std::size_t max_configuration_bytes = max_configuration;
+constexpr Duration startup_request_interval{50};  // until it is ready
+constexpr std::size_t max_trace_events = 64,
+                      max_remote_brokers = 4;  // max_remote_brokers: of one region
 
 }  // namespace
 
 ControlPlaneClient::ControlPlaneClient(const NodeSettings& settings, IncarnationId incarnation,
-                                       std::function<void(ViewSnapshot)> show,
-                                       std::function<void(DelegationEvent)> tell)
+                                       std::function<void(ViewSnapshot)> publish_view,
+                                       std::function<void(DelegationEvent)> notify_delegation)
     : settings_(settings),
       incarnation_(incarnation),
       address_(Address{settings.ip_address, settings.own_port}.text()),
-      show_(std::move(show)),
-      tell_(std::move(tell)),
-      contacts_(4, [this] { waker_.wake(); }),
-      outs_(1024, [this] { waker_.wake(); }),
+      publish_view_(std::move(publish_view)),
+      notify_delegation_(std::move(notify_delegation)),
+      seeds_(4, [this] { waker_.wake(); }),
+      delegation_messages_(1024, [this] { waker_.wake(); }),
       control_source_({settings.zone, settings.region, settings.follow, settings.unconfirmed_wait},
                       incarnation, Clock::now()),
       version_switch_(settings.rollout_wait * 2),
-      born_(Clock::now()),
-      steps_(max_steps) {
-  contacts_.push(settings.contacts);
+      started_at_(Clock::now()),
+      trace_(max_trace_events) {
+  seeds_.push(settings.contacts);
 }
 
 Error ControlPlaneClient::open() {
@@ -53,97 +55,99 @@
 }
 
 // One spoke to each registry that the feed knows of.
-void ControlPlaneClient::reach_all() {
-  std::erase_if(lines_,
-                [&](const auto& line) { return !control_source_.sources().contains(line.first); });
+void ControlPlaneClient::connect_sources() {
+  std::erase_if(links_,
+                [&](const auto& link) { return !control_source_.sources().contains(link.first); });
   for (const auto& [address, source] : control_source_.sources()) {
     Address parsed;
-    if (lines_.contains(address) || !parse_address(address, parsed))
+    if (links_.contains(address) || !parse_address(address, parsed))
       continue;
-    lines_[address].client = std::make_unique<FrameClient>(context_, parsed);
-    follow_due_ = {};
+    links_[address].client = std::make_unique<FrameClient>(context_, parsed);
+    request_due_ = {};
   }
 }
 
-void ControlPlaneClient::follow_leader() {
+void ControlPlaneClient::request_from_leader() {
   for (const auto& [address, source] : control_source_.sources())
     if (control_source_.is_leader(source))
-      follow_one(address, false);
+      send_request(address, false);
 }
 
 void ControlPlaneClient::run() {
   std::vector<void*> handles;
   while (!should_stop_) {
-    for (const auto& contacts : contacts_.take()) {
+    for (const auto& contacts : seeds_.take()) {
       std::vector<std::string> seeds;
       for (const Address& contact : contacts)
         seeds.push_back(Address{contact.host, settings_.inner_port}.text());
       control_source_.set_seeds(std::move(seeds), Clock::now());
     }
-    reach_all();
+    connect_sources();
     if (const std::uint64_t revision = confirmed_revision_; revision != notified_revision_) {
       notified_revision_ = revision;
-      follow_leader();
+      request_from_leader();
     }
-    if (const std::uint64_t revision = ring_confirmed_; revision != ring_told_) {
-      ring_told_ = revision;
-      follow_leader();
+    if (const std::uint64_t revision = ring_confirmed_; revision != ring_notified_) {
+      ring_notified_ = revision;
+      request_from_leader();
     }
-    if (const TimePoint now = Clock::now(); now >= follow_due_)
-      follow_all(now);
+    if (const TimePoint now = Clock::now(); now >= request_due_)
+      send_requests(now);
     handles.assign({frame_server_.handle()});
-    for (const auto& [address, line] : lines_)
-      handles.push_back(line.client->handle());
+    for (const auto& [address, link] : links_)
+      handles.push_back(link.client->handle());
     for (const auto& [address, client] : delegates_)
       handles.push_back(client->handle());
     TimePoint due = version_switch_.is_switch_pending()
-                        ? std::min(follow_due_, version_switch_.activation_deadline())
-                        : follow_due_;
-    if (fetched_ > version_switch_.version_held())
+                        ? std::min(request_due_, version_switch_.activation_deadline())
+                        : request_due_;
+    if (requested_version_ > version_switch_.version_held())
       due = std::min(due, fetch_due_);
     wait_links(
         handles, waker_,
         std::clamp(std::chrono::ceil<Duration>(due - Clock::now()), Duration(0), Duration(1000)));
-    for (auto& [address, line] : lines_)
+    for (auto& [address, link] : links_)
       handle_each(
-          256, [&] { return line.client->receive(); }, Clock::now,
-          [&](const ReceivedFrame& frame, TimePoint came) { take(frame, came); });
+          256, [&] { return link.client->receive(); }, Clock::now,
+          [&](const ReceivedFrame& frame, TimePoint received_at) {
+            handle_frame(frame, received_at);
+          });
     const TimePoint now = Clock::now();
-    take_hub(now);
-    send_delegations();
+    handle_server_frames(now);
+    relay_delegations();
     fetch(now);
-    turn(now);
-    check_ready(now);
-    if (has_news_)
+    activate_version(now);
+    update_readiness(now);
+    if (is_view_outdated_)
       publish();
   }
 }
 
-void ControlPlaneClient::follow_all(TimePoint now) {
+void ControlPlaneClient::send_requests(TimePoint now) {
   control_source_.begin_requests(now);
-  follow_due_ = now + (is_ready_ ? settings_.follow : eager_follow);
-  for (Evidence& evidence : evidence_.take())
-    seen_ = std::move(evidence);
+  request_due_ = now + (is_ready_ ? settings_.follow : startup_request_interval);
+  for (LeadershipEvidence& evidence : evidence_queue_.take())
+    leadership_evidence_ = std::move(evidence);
   std::size_t position = 0;
   for (const auto& [address, source] : control_source_.sources())
     if (control_source_.should_request(address, ++position, is_ready_, now))
-      follow_one(address, false);
-  choose_feed(now);
+      send_request(address, false);
+  select_source(now);
   endpoint_table_.erase_tombstones(now, tombstone_duration(settings_));
 }
 
-void ControlPlaneClient::choose_feed(TimePoint now) {
+void ControlPlaneClient::select_source(TimePoint now) {
   if (const auto chosen = control_source_.select(now))
-    follow_one(*chosen, false);
+    send_request(*chosen, false);
 }
 
-void ControlPlaneClient::take(const ReceivedFrame& frame, TimePoint now) {
+void ControlPlaneClient::handle_frame(const ReceivedFrame& frame, TimePoint now) {
   ByteReader reader(frame.bytes);
   FrameHead head;
   if (!decode_head(reader, head))
     return;
-  const auto found = lines_.find(head.from);
-  if (found == lines_.end())
+  const auto found = links_.find(head.from);
+  if (found == links_.end())
     return;
   bool is_good = false;
   if (head.kind == FrameKind::heartbeat) {
@@ -153,7 +157,7 @@
   } else if (head.kind == FrameKind::body) {
     ConfigurationPayload body;
     if ((is_good = decode(reader, body)))
-      take_body(std::move(body), now);
+      handle_configuration(std::move(body), now);
   } else if (head.kind == FrameKind::endpoints) {
     EndpointList endpoints;
     if ((is_good = decode(reader, endpoints)))
@@ -164,34 +168,35 @@
   }
 }
 
-void ControlPlaneClient::handle_heartbeat(const FrameHead& head, Line& line,
+void ControlPlaneClient::handle_heartbeat(const FrameHead& head, RegistryLink& link,
                                           ControlHeartbeat& heartbeat, TimePoint now) {
   const bool was_confirmed = control_source_.is_confirmed(control_source_.selected(), now);
   const ControlSourceSelector::HeartbeatResult result =
       control_source_.handle_heartbeat(head.from, heartbeat, now);
   if (result.is_authoritative) {
     version_switch_.observe_in_force(heartbeat.in_force);
-    if (lease_)
+    if (notify_leadership_)
       handle_leadership_lease(heartbeat, *result.request_sent_at);
-    if (ring_)
-      take_ring(heartbeat, *result.request_sent_at);
-    if (edges_)
-      take_edges(heartbeat);
+    if (notify_ring_)
+      handle_ring(heartbeat, *result.request_sent_at);
+    if (notify_edges_)
+      handle_edges(heartbeat);
     if (heartbeat.grant_valid) {
-      reserve_.update(static_cast<double>(heartbeat.grant) / 1000,
-                      Duration(static_cast<std::int64_t>(
-                          std::min<std::uint64_t>(heartbeat.grant_valid, 60000))),
-                      *result.request_sent_at);
-      if (now - reserve_shown_ >= settings_.follow * 2) {  // well before the one shown runs out
-        reserve_shown_ = now;
-        has_news_ = true;
+      retry_quota_.update(static_cast<double>(heartbeat.grant) / 1000,
+                          Duration(static_cast<std::int64_t>(
+                              std::min<std::uint64_t>(heartbeat.grant_valid, 60000))),
+                          *result.request_sent_at);
+      if (now - quota_published_at_ >=
+          settings_.follow * 2) {  // well before the one shown runs out
+        quota_published_at_ = now;
+        is_view_outdated_ = true;
       }
     }
   }
-  if (result.request_sent_at && sample_)
-    take_samples(line, head.incarnation, heartbeat, *result.request_sent_at, now);
+  if (result.request_sent_at && notify_samples_)
+    handle_samples(link, head.incarnation, heartbeat, *result.request_sent_at, now);
   if (!is_ready_ || !was_confirmed)
-    choose_feed(now);
+    select_source(now);
   if (result.request_sent_at && heartbeat.is_confirmed) {
     if (head.from == control_source_.selected() &&
         heartbeat.brokers_revision != brokers_revision_ &&
@@ -199,36 +204,38 @@
       handle_broker_endpoints(heartbeat);
     if (heartbeat.brokers != brokers_) {
       brokers_ = std::max<std::uint64_t>(1, heartbeat.brokers);
-      has_news_ = true;
+      is_view_outdated_ = true;
     }
   }
   if (heartbeat.version > version_switch_.version_held())
     fetch(now);
-  turn(now);
+  activate_version(now);
 }
 
 // Of each other region a few, spread by hash so that every broker is some others' choice.
 void ControlPlaneClient::handle_broker_endpoints(const ControlHeartbeat& heartbeat) {
   brokers_revision_ = heartbeat.brokers_revision;
   std::map<std::string, std::vector<std::pair<std::size_t, BrokerEndpoint>>> by_region;
-  for (const BrokerEndpoint& seat : heartbeat.seats)
-    if (seat.region != settings_.region)
-      by_region[seat.region].push_back({std::hash<std::string>{}(address_ + seat.address), seat});
-  std::vector<BrokerEndpoint> seats;
+  for (const BrokerEndpoint& broker : heartbeat.seats)
+    if (broker.region != settings_.region)
+      by_region[broker.region].push_back(
+          {std::hash<std::string>{}(address_ + broker.address), broker});
+  std::vector<BrokerEndpoint> remote_brokers;
   for (auto& [region, choices] : by_region) {
     std::sort(choices.begin(), choices.end());
-    if (choices.size() > max_aides)
-      choices.resize(max_aides);
-    for (auto& [hash, seat] : choices)
-      seats.push_back(std::move(seat));
+    if (choices.size() > max_remote_brokers)
+      choices.resize(max_remote_brokers);
+    for (auto& [hash, broker] : choices)
+      remote_brokers.push_back(std::move(broker));
   }
-  if (seats == seats_)
+  if (remote_brokers == remote_brokers_)
     return;
-  seats_ = std::move(seats);
-  has_news_ = true;
-  std::erase_if(delegates_, [&](const auto& aide) {
-    return std::none_of(seats_.begin(), seats_.end(),
-                        [&](const BrokerEndpoint& seat) { return seat.address == aide.first; });
+  remote_brokers_ = std::move(remote_brokers);
+  is_view_outdated_ = true;
+  std::erase_if(delegates_, [&](const auto& delegate) {
+    return std::none_of(
+        remote_brokers_.begin(), remote_brokers_.end(),
+        [&](const BrokerEndpoint& broker) { return broker.address == delegate.first; });
   });
 }
 
@@ -236,7 +243,7 @@
 // one heard last.
 void ControlPlaneClient::fetch(TimePoint now) {
   const std::pair<const std::string, ControlSource>* best = nullptr;
-  const bool has_feed = is_ready_ && !control_source_.selected().empty();
+  const bool has_source = is_ready_ && !control_source_.selected().empty();
   const Version held = version_switch_.version_held();
   for (const auto& item : control_source_.sources()) {
     if (item.second.version <= held)
@@ -250,26 +257,26 @@
   }
   if (!best || now < fetch_due_)
     return;
-  if (fetched_ != best->second.version) {
-    fetched_ = best->second.version;
-    fetch_pause_ = fetch_again;
-    if (has_feed && best->first != control_source_.selected()) {
-      fetch_due_ = now + feed_grace;
+  if (requested_version_ != best->second.version) {
+    requested_version_ = best->second.version;
+    fetch_interval_ = fetch_retry_interval;
+    if (has_source && best->first != control_source_.selected()) {
+      fetch_due_ = now + source_grace;
       return;
     }
   }
-  fetch_due_ = now + fetch_pause_;
-  fetch_pause_ =
-      std::min(fetch_pause_ * 2, max_fetch_duration);  // over a narrow link a body takes its time
-  follow_one(best->first, true);
+  fetch_due_ = now + fetch_interval_;
+  fetch_interval_ = std::min(fetch_interval_ * 2,
+                             max_fetch_interval);  // over a narrow link a body takes its time
+  send_request(best->first, true);
 }
 
-void ControlPlaneClient::take_body(ConfigurationPayload body, TimePoint now) {
+void ControlPlaneClient::handle_configuration(ConfigurationPayload body, TimePoint now) {
   if (body.version <= version_switch_.version_held())
     return;  // never back within a life
   ConfigurationSnapshot snapshot;
   std::string text;
-  if (!unpack(body.body, max_body_wait, text)) {
+  if (!unpack(body.body, max_configuration_bytes, text)) {
     LOG(ERROR) << "follow: configuration damaged on its way";
     return;
   }
@@ -279,37 +286,37 @@
   }
   version_switch_.prepare(std::move(snapshot), now);
   fetch_due_ = {};
-  steps_.note(body.version, "held", now);
+  trace_.note(body.version, "held", now);
   LOG(INFO) << "follow: edition " << body.version.value << " held";
-  turn(now);
-  follow_due_ = now;
+  activate_version(now);
+  request_due_ = now;
 }
 
-void ControlPlaneClient::turn(TimePoint now) {
+void ControlPlaneClient::activate_version(TimePoint now) {
   if (!version_switch_.activate(is_ready_, now))
     return;
-  has_news_ = true;
-  steps_.note(version_switch_.serving()->version, "in force", now);
+  is_view_outdated_ = true;
+  trace_.note(version_switch_.serving()->version, "in force", now);
 }
 
-void ControlPlaneClient::handle_endpoints(Line& line, const FrameHead& head,
+void ControlPlaneClient::handle_endpoints(RegistryLink& link, const FrameHead& head,
                                           const EndpointList& endpoints, TimePoint now) {
-  if (line.incarnation !=
+  if (link.incarnation !=
       head.incarnation.value) {  // another life there: only its whole roster counts
     if (!endpoints.is_complete)
       return;
-    line.incarnation = head.incarnation.value;
-  } else if (endpoints.base > line.revision) {
+    link.incarnation = head.incarnation.value;
+  } else if (endpoints.base > link.revision) {
     return;  // a gap: the next follow tells what is held, and the rest comes again
   }
   for (const Endpoint& entry : endpoints.entries)
-    has_news_ |= endpoint_table_.merge(entry, now);
-  line.revision =
-      endpoints.is_complete ? endpoints.revision : std::max(line.revision, endpoints.revision);
+    is_view_outdated_ |= endpoint_table_.merge(entry, now);
+  link.revision =
+      endpoints.is_complete ? endpoints.revision : std::max(link.revision, endpoints.revision);
   control_source_.handle_endpoints(head.from);
 }
 
-void ControlPlaneClient::check_ready(TimePoint now) {
+void ControlPlaneClient::update_readiness(TimePoint now) {
   const ConfigurationSnapshot& serving = version_switch_.serving();
   if (is_ready_ || !serving)
     return;
@@ -317,19 +324,19 @@
       control_source_.readiness(serving->version, now);
   if (readiness == ControlSourceSelector::Readiness::no)
     return;
-  is_ready_ = has_news_ = true;
+  is_ready_ = is_view_outdated_ = true;
   LOG(INFO) << "follow: ready by edition " << serving->version.value
             << (readiness == ControlSourceSelector::Readiness::confirmed ? "" : ", unconfirmed");
 }
 
 void ControlPlaneClient::publish() {
-  has_news_ = false;
+  is_view_outdated_ = false;
   auto view = std::make_shared<View>();
   view->configuration = version_switch_.serving();
   view->is_ready = is_ready_;
   view->brokers = brokers_;
-  view->seats = seats_;
-  view->reserve = reserve_;
+  view->remote_brokers = remote_brokers_;
+  view->retry_quota = retry_quota_;
   const TimePoint now = Clock::now();
   for (const auto& [id, leased] : endpoint_table_.endpoints()) {
     if (leased.endpoint.phase == Phase::gone)
@@ -340,10 +347,10 @@
             ? static_cast<std::uint64_t>(elapsed(now, leased.warm_until).count())
             : 0;
   }
-  show_(std::move(view));
+  publish_view_(std::move(view));
 }
 
-void ControlPlaneClient::take_hub(TimePoint now) {
+void ControlPlaneClient::handle_server_frames(TimePoint now) {
   for (int count = 0; count < 512; ++count) {
     auto frame = frame_server_.receive();
     if (!frame)
@@ -354,8 +361,8 @@
       continue;
     if (head.kind == FrameKind::aid) {
       DelegationRequested in{std::move(frame->routing_id), {}};
-      if (decode(reader, in.aid))
-        tell_(std::move(in));
+      if (decode(reader, in.request))
+        notify_delegation_(std::move(in));
       continue;
     }
     if (head.kind != FrameKind::trace)
@@ -364,7 +371,7 @@
     traced.node = settings_.node_name;
     traced.role = "broker";
     traced.held = version_switch_.version_held();
-    traced.steps = steps_.tell(now);
+    traced.steps = trace_.tell(now);
     traced.registries = control_source_.registries();
     frame_server_.send(frame->routing_id,
                        encode({FrameKind::traced, incarnation_, address_}, traced));
@@ -373,18 +380,18 @@
 
 // Aids to other brokers, and outcomes of theirs. A spoke set up just now drops its first frame:
 // that aid is lost.
-void ControlPlaneClient::send_delegations() {
-  for (DelegationMessage& out : outs_.take()) {
-    if (!out.token) {
-      frame_server_.send(out.to, out.bytes);
+void ControlPlaneClient::relay_delegations() {
+  for (DelegationMessage& message : delegation_messages_.take()) {
+    if (!message.token) {
+      frame_server_.send(message.to, message.bytes);
       continue;
     }
-    auto& client = delegates_[out.to];
+    auto& client = delegates_[message.to];
     Address parsed;
-    if (!client && parse_address(out.to, parsed))
+    if (!client && parse_address(message.to, parsed))
       client = std::make_unique<FrameClient>(context_, parsed);
-    if (!client || !client->send(out.bytes))
-      tell_(DelegationLost{out.token});
+    if (!client || !client->send(message.bytes))
+      notify_delegation_(DelegationLost{message.token});
   }
   for (const auto& [address, client] : delegates_)
     for (int count = 0; count < 256; ++count) {
@@ -394,8 +401,8 @@
       ByteReader reader(frame->bytes);
       FrameHead head;
       DelegationResult in;
-      if (decode_head(reader, head) && head.kind == FrameKind::aided && decode(reader, in.aided))
-        tell_(std::move(in));
+      if (decode_head(reader, head) && head.kind == FrameKind::aided && decode(reader, in.result))
+        notify_delegation_(std::move(in));
     }
 }
 
--- a/src/pooler/pooler_loop.cpp
+++ b/src/pooler/pooler_loop.cpp
@@ -146,7 +146,7 @@
     auto views = views_.take();
     if (!views.empty())
       take_view(std::move(views.back()), now);
-    for (const SampleNews& news : samples_in_.take())
+    for (const SampleUpdate& news : samples_in_.take())
       samples_.take(news.samples, news.built);
     for (LeadershipUpdate& news : leases_.take())
       handle_leadership_lease(std::move(news), now);
@@ -264,7 +264,7 @@
     return;
   has_news_ = false;
   reported_ = now;
-  Evidence evidence;
+  LeadershipEvidence evidence;
   evidence.revision = leaderships_->revision;
   for (std::size_t position = 0; position < leaderships_->leaderships.size(); ++position) {
     const auto backend = backends_.find(leaderships_->leaderships[position].id);
@@ -285,7 +285,7 @@
   metrics().set(Metric::connections, static_cast<std::int64_t>(pool_.count()));
   metrics().set(Metric::waiting, static_cast<std::int64_t>(waiting_.size() + pool_.waiting()));
   metrics().set(Metric::ready, is_ready());
-  control_client_->report(std::move(evidence));
+  control_client_->report_evidence(std::move(evidence));
 }
 
 BackendPointer PoolerLoop::lead_of(const std::string& service, TimePoint now) const {
--- a/src/pooler/pooler_loop.h
+++ b/src/pooler/pooler_loop.h
@@ -8,11 +8,11 @@
 #include <thread>
 #include <unordered_map>
 
-#include "coordination/databases/log_position_samples.h"
-#include "coordination/databases/database_session.h"
 #include "control_client/control_plane_client.h"
-#include "transport/http_server.h"
+#include "coordination/databases/database_session.h"
+#include "coordination/databases/log_position_samples.h"
 #include "transport/database_transport.h"
+#include "transport/http_server.h"
 
 namespace saddlewing {
 
@@ -32,7 +32,7 @@
   void lease(LeadershipUpdate news) {
     leases_.push(std::move(news));
   }
-  void sample(SampleNews news) {
+  void sample(SampleUpdate news) {
     samples_in_.push(std::move(news));
   }
   void leave() {
@@ -143,7 +143,7 @@
   ControlPlaneClient* control_client_ = nullptr;
   BoundedQueue<ViewSnapshot> views_;
   BoundedQueue<LeadershipUpdate> leases_;
-  BoundedQueue<SampleNews> samples_in_;
+  BoundedQueue<SampleUpdate> samples_in_;
   ViewSnapshot view_ = std::make_shared<View>();
   std::map<std::string, BackendPointer> backends_;  // by id
   std::unordered_map<std::string, std::vector<BackendPointer>> by_service_;
--- a/src/pooler/pooler_program.cpp
+++ b/src/pooler/pooler_program.cpp
@@ -3,8 +3,8 @@
 
 #include <random>
 
-#include "pooler/pooler_loop.h"
 #include "commands/commands.h"
+#include "pooler/pooler_loop.h"
 #include "process/signals.h"
 
 namespace saddlewing {
@@ -22,8 +22,9 @@
   ControlPlaneClient follower(
       settings, incarnation, [&pooling](ViewSnapshot view) { pooling.show(std::move(view)); },
       [](DelegationEvent) {});
-  follower.set_pooler([&pooling](LeadershipUpdate news) { pooling.lease(std::move(news)); },
-                      [&pooling](SampleNews news) { pooling.sample(std::move(news)); });
+  follower.set_pooler_listeners(
+      [&pooling](LeadershipUpdate news) { pooling.lease(std::move(news)); },
+      [&pooling](SampleUpdate news) { pooling.sample(std::move(news)); });
   pooling.set_follower(follower);
   for (const Error& found : {follower.open(), pooling.open()})
     if (found) {
@@ -34,7 +35,7 @@
   pooling.start();
   LOG(INFO) << "pooler: started as " << settings.node_name;
   signals.serve(startup_path, false,
-                [&](const NodeSettings& changed) { follower.set_contacts(changed.contacts); });
+                [&](const NodeSettings& changed) { follower.set_seeds(changed.contacts); });
   follower.set_leaving();
   pooling.leave();
   pooling.join();
--- a/tests/broker/broker_loop_test.cpp
+++ b/tests/broker/broker_loop_test.cpp
@@ -17,7 +17,7 @@
     return true;
   });
   DelegationEvent event = DelegationRequested{"route", {}};
-  GatherRequest& aid = std::get<DelegationRequested>(event).aid;
+  GatherRequest& aid = std::get<DelegationRequested>(event).request;
   aid.token = 3;
   aid.services = {"s", "t"};
   aid.time_left = 500;
