--- a/src/control_client/control_plane_client.h
+++ b/src/control_client/control_plane_client.h
@@ -1,221 +1,180 @@
 #pragma once
-// The follow thread of a broker: keeps snapshots of the configuration and of the registry of
-// backends.
+// The client of the control plane in a broker or pooler.
+//
+// Job: one thread that keeps connections to the registries, sends them requests, takes their
+// heartbeats, configurations and lists of endpoints, and publishes immutable views to the traffic
+// thread. Parts with a state of their own do the rest: the choice of a registry
+// (ControlSourceSelector), the switch of versions (VersionSwitch), the fetch of configurations
+// (ConfigurationFetcher), the subscriptions of poolers, rings and edges, and the relay of delegated
+// gathers (DelegationRelay). It serves no requests of clients.
+// Threading: public functions may be called from any thread, the set_..._listener functions only
+// before start(). Private members belong to the client's thread.
+// Source: docs/design/control.md.
 #include <atomic>
+#include <functional>
 #include <map>
 #include <memory>
 #include <string>
 #include <thread>
-#include <variant>
 #include <vector>
 
+#include "control_client/configuration_fetcher.h"
+#include "control_client/control_updates.h"
+#include "control_client/delegation_relay.h"
+#include "control_client/edge_subscription.h"
+#include "control_client/pooler_subscription.h"
+#include "control_client/remote_brokers.h"
+#include "control_client/ring_subscription.h"
 #include "coordination/discovery/control_source_selector.h"
-#include "coordination/discovery/service_registry.h"
+#include "coordination/discovery/endpoint_table.h"
 #include "coordination/leases/retry_quota.h"
-#include "coordination/placement/ring_router.h"
 #include "coordination/rollout/version_switch.h"
-#include "coordination/routing/edge_latency.h"
 #include "protocol/version_trace.h"
-#include "state/configuration.h"
-#include "state/leadership_table.h"
 #include "state/node_settings.h"
 #include "transport/frame_link.h"
 
 namespace saddlewing {
 
-// What the traffic thread serves by. Immutable, swapped whole.
-struct View {
-  ConfigurationSnapshot configuration;
-  std::vector<Endpoint> backends;  // those that are ready or emptying
-  bool is_ready = false;           // once true it stays so for this life
-  std::uint64_t brokers = 1;
-  std::vector<BrokerEndpoint> remote_brokers;  // ready brokers of other regions
-  RetryQuota retry_quota;
-};
-using ViewSnapshot = std::shared_ptr<const View>;
-
-// The leads a pooler may act by, and until when.
-struct LeadershipUpdate {
-  std::shared_ptr<const LeadershipTable> leaderships;  // null: as before
-  TimePoint until{};
-};
-// What a pooler saw of its leads, a bit for each lead of the table of this mark.
-struct LeadershipEvidence {
-  std::uint64_t revision = 0;
-  std::string failing, fine;
-  std::string samples;  // with ages as of `built`
-  TimePoint built{};
-};
-struct SampleUpdate {
-  std::string samples;
-  TimePoint built{};  // not after the ages were counted
-};
-
-// The ring a broker may act by, and until when.
-struct RingUpdate {
-  RingSnapshot view;  // null: as before
-  TimePoint until{};
-};
-// What a broker sent by the ring since it last told.
-struct RingCounts {
-  std::vector<std::pair<VirtualNode, RingLoad>> loads;
-  std::vector<std::pair<std::string, RingLoad>> accounts;
-  std::uint64_t lookups = 0, late = 0;
-};
-
-// The view of edges, as a registry told it.
-struct EdgeUpdate {
-  EdgeSnapshot view;  // null: as before
-  std::uint64_t in_force = 0;
-};
-
-// Frames between brokers, handed over by the traffic thread.
-struct DelegationMessage {
-  std::string to;           // inner address for an aid, route for its outcome
-  std::uint64_t token = 0;  // of an aid; 0 with an outcome
-  std::string bytes;
-};
-// And handed to it.
-struct DelegationRequested {
-  std::string routing_id;  // whom to answer
-  GatherRequest request;
-};
-struct DelegationResult {
-  GatherResult result;
-};
-struct DelegationLost {  // it did not leave
-  std::uint64_t token = 0;
-};
-using DelegationEvent = std::variant<DelegationRequested, DelegationResult, DelegationLost>;
-
 class ControlPlaneClient {
  public:
+  // `incarnation`: of this process. `publish_view`, `notify_delegation`: hand views and events to
+  // the traffic thread; called by the client's thread.
   ControlPlaneClient(const NodeSettings& settings, IncarnationId incarnation,
                      std::function<void(ViewSnapshot)> publish_view,
                      std::function<void(DelegationEvent)> notify_delegation);
+
+  // Binds the inner address. Errors: ErrorCode::link.
   Error open();
   void start();
+
+  // Ends the thread and waits for it.
   void stop();
-  bool send(DelegationMessage message) {
-    return delegation_messages_.push(std::move(message));
+
+  // Replaces the addresses of registries that settings or platform give.
+  void set_seeds(const std::vector<Address>& contacts) {
+    seeds_.replace(contacts);
   }
+
+  // From now on the registries are told that this process is not ready.
   void set_leaving() {
     is_leaving_ = true;
   }
-  // Of a pooler: who is told of leads and samples; the follower tells the registries what was done
-  // by then.
-  void set_pooler_listeners(std::function<void(LeadershipUpdate)> lease,
-                            std::function<void(SampleUpdate)> sample) {
-    notify_leadership_ = std::move(lease);
-    notify_samples_ = std::move(sample);
+
+  // Sends a frame to another broker; false: the queue is full.
+  bool send(DelegationMessage message) {
+    return delegations_.send(std::move(message));
+  }
+
+  // Of a pooler: who is told of leaderships and of samples.
+  void set_pooler_listeners(std::function<void(LeadershipUpdate)> leaderships,
+                            std::function<void(SampleUpdate)> samples) {
+    pooler_.set_listeners(std::move(leaderships), std::move(samples));
   }
-  void confirm_leaderships(
-      std::uint64_t revision) {  // nothing is done by an earlier table any more
-    confirmed_revision_ = revision;
+
+  // Of a pooler: nothing is done by a leadership table older than `revision` any more.
+  void confirm_leaderships(std::uint64_t revision) {
+    pooler_.confirm(revision);
     waker_.wake();
   }
+
+  // Of a pooler: what it saw of the leaders since its last report.
+  void report_evidence(LeadershipEvidence evidence) {
+    pooler_.report(std::move(evidence));
+  }
+
   // Of a broker: who is told of the ring.
   void set_ring_listener(std::function<void(RingUpdate)> ring) {
-    notify_ring_ = std::move(ring);
+    ring_.set_listener(std::move(ring));
   }
+
+  // Of a broker: nothing is done by a ring older than `revision` any more.
   void confirm_ring(std::uint64_t revision) {
-    if (ring_confirmed_.exchange(revision) != revision)
+    if (ring_.confirm(revision))
       waker_.wake();
   }
-  void set_edge_listener(std::function<void(EdgeUpdate)> edges) {
-    notify_edges_ = std::move(edges);
-  }
-  void report_edges(std::string counts) {
-    edge_counts_.push(std::move(counts));
-  }
+
+  // Of a broker: what it sent by the ring since its last report.
   void report_ring(RingCounts counts) {
-    ring_counts_.push(std::move(counts));
+    ring_.report(std::move(counts));
   }
-  void report_evidence(LeadershipEvidence evidence) {
-    evidence_queue_.push(std::move(evidence));
+
+  // Of a broker: who is told of the latencies of edges.
+  void set_edge_listener(std::function<void(EdgeUpdate)> edges) {
+    edges_.set_listener(std::move(edges));
   }
-  void set_seeds(const std::vector<Address>& contacts) {
-    seeds_.replace(contacts);
+
+  // Of a broker: its counts of edges since its last report, as EdgeCounts encodes them.
+  void report_edges(std::string counts) {
+    edges_.report(std::move(counts));
   }
 
  private:
-  struct RegistryLink {  // to one registry; what it told of itself is the feed's
+  // The connection to one registry.
+  struct RegistryLink {
     std::unique_ptr<FrameClient> client;
-    std::uint64_t incarnation = 0, revision = 0;  // of its roster, as far as taken
-    IncarnationId heartbeat_incarnation;          // of its last beat
-    std::uint64_t serial = 0;
-    TimePoint last_heartbeat{};  // when that came
+    std::uint64_t incarnation = 0;  // of the registry whose endpoints were taken
+    std::uint64_t revision = 0;     // of its endpoints, as far as taken
+    HeartbeatEcho echo;
   };
+
   void run();
+  void take_seeds();
   void connect_sources();
+  void wait();
+  void receive_frames();
+
+  void send_requests(TimePoint now);
   void request_from_leader();
+  void send_request(const std::string& address, bool wants_body);
+  void select_source(TimePoint now);
+  void fetch_configuration(TimePoint now);
+
   void handle_frame(const ReceivedFrame& frame, TimePoint now);
+  bool decode_and_handle(const FrameHead& head, ByteReader& reader, RegistryLink& link,
+                         TimePoint now);
   void handle_heartbeat(const FrameHead& head, RegistryLink& link, ControlHeartbeat& heartbeat,
                         TimePoint now);
-  void handle_configuration(ConfigurationPayload body, TimePoint now);
+  void handle_orders(const ControlHeartbeat& heartbeat, TimePoint requested_at, TimePoint now);
+  void handle_brokers(const ControlHeartbeat& heartbeat, bool is_selected);
+  void handle_configuration(const ConfigurationPayload& payload, TimePoint now);
   void handle_endpoints(RegistryLink& link, const FrameHead& head, const EndpointList& endpoints,
                         TimePoint now);
-  void send_requests(TimePoint now);
-  void send_request(const std::string& address, bool wants_body);
-  void select_source(TimePoint now);
-  void add_ring_counts(SubscribeRequest& request);
-  void handle_ring(const ControlHeartbeat& heartbeat, TimePoint requested_at);
-  void handle_leadership_lease(ControlHeartbeat& heartbeat, TimePoint requested_at);
-  void handle_samples(RegistryLink& link, IncarnationId incarnation, ControlHeartbeat& heartbeat,
-                      TimePoint requested_at, TimePoint now);
-  void fetch(TimePoint now);
-  void update_readiness(TimePoint now);
+  void handle_server_frames(TimePoint now);
+  void send_trace(const std::string& routing_id, TimePoint now);
+
   void activate_version(TimePoint now);
+  void update_readiness(TimePoint now);
   void publish();
-  void handle_server_frames(TimePoint now);
-  void relay_delegations();
 
   const NodeSettings settings_;
   const IncarnationId incarnation_;
-  const std::string address_;
+  const std::string address_;  // inner address of this process
   std::function<void(ViewSnapshot)> publish_view_;
-  std::function<void(DelegationEvent)> notify_delegation_;
   LinkContext context_;
   FrameServer frame_server_;
   Waker waker_;
   BoundedQueue<std::vector<Address>> seeds_;
-  BoundedQueue<DelegationMessage> delegation_messages_;
-  std::map<std::string, std::unique_ptr<FrameClient>>
-      delegates_;                               // brokers asked for aid, by inner address
-  std::vector<BrokerEndpoint> remote_brokers_;  // ready brokers of other regions, a few of each
-  std::uint64_t brokers_revision_ = 0;          // of the list they were taken from
-  void handle_broker_endpoints(const ControlHeartbeat& heartbeat);
-  ControlSourceSelector control_source_;
   std::map<std::string, RegistryLink> links_;  // by inner address
+
+  ControlSourceSelector control_source_;
   EndpointTable endpoint_table_;
   VersionSwitch version_switch_;
-  TimePoint started_at_, request_due_{}, fetch_due_{};
-  Version requested_version_;  // last asked for, or waited for at the feed
-  Duration fetch_interval_{0};
-  bool is_ready_ = false, is_view_outdated_ = false;
-  std::uint64_t brokers_ = 1;
+  ConfigurationFetcher fetcher_;
+  RemoteBrokers remote_brokers_;
+  DelegationRelay delegations_;
+  PoolerSubscription pooler_;
+  RingSubscription ring_;
+  EdgeSubscription edges_;
+  VersionTrace trace_;
+
+  TimePoint request_due_{};
+  bool is_ready_ = false;          // once true it stays so
+  bool is_view_outdated_ = false;  // a view is to be published
+  std::uint64_t broker_count_ = 1;
   RetryQuota retry_quota_;
   TimePoint quota_published_at_{};
-
-  std::function<void(LeadershipUpdate)> notify_leadership_;
-  std::function<void(SampleUpdate)> notify_samples_;
-  std::function<void(RingUpdate)> notify_ring_;
-  void handle_edges(const ControlHeartbeat& heartbeat);
-  std::function<void(EdgeUpdate)> notify_edges_;
-  BoundedQueue<std::string> edge_counts_{8, {}};
-  EdgeCounts edge_sums_{4096};  // until the feed has them
-  std::uint64_t edge_revision_ = 0;
-  BoundedQueue<RingCounts> ring_counts_{64, {}};
-  std::atomic<std::uint64_t> ring_confirmed_ = 0;
-  std::uint64_t ring_notified_ = 0, ring_revision_ = 0;
-  BoundedQueue<LeadershipEvidence> evidence_queue_{16, {}};
-  LeadershipEvidence leadership_evidence_;
-  std::atomic<std::uint64_t> confirmed_revision_ = 0;
-  std::uint64_t notified_revision_ = 0,
-                leadership_revision_ = 0;  // leadership_revision_: of the table handed on
-  TimePoint lease_until_{};
-  VersionTrace trace_;
-  std::atomic<bool> should_stop_ = false, is_leaving_ = false;
+  std::atomic<bool> should_stop_ = false;
+  std::atomic<bool> is_leaving_ = false;
   std::thread thread_;
 };
 
--- /dev/null
+++ b/src/control_client/edge_subscription.cpp
@@ -0,0 +1,36 @@
+#include "control_client/edge_subscription.h"
+
+#include <memory>
+
+#include "state/metrics.h"
+
+namespace saddlewing {
+
+void EdgeSubscription::add_to(SubscribeRequest& request, bool is_selected) {
+  if (!notify_)
+    return;
+  request.edges_held = revision_;
+  for (const std::string& counts : reports_.take())
+    sums_.merge(counts);
+  if (is_selected)
+    request.edge_counts = sums_.take();
+}
+
+void EdgeSubscription::handle_heartbeat(const ControlHeartbeat& heartbeat) {
+  if (!notify_ || (!heartbeat.edges_in_force && heartbeat.edges.empty()))
+    return;
+  EdgeUpdate update{nullptr, heartbeat.edges_in_force};
+  if (!heartbeat.edges.empty()) {
+    auto view = std::make_shared<EdgeView>();
+    if (decode_view(heartbeat.edges, *view) && view->revision >= revision_) {
+      if (view->revision > revision_)
+        update.view = view;
+      revision_ = view->revision;
+    } else {
+      metrics().add(Metric::edge_frames_dropped);
+    }
+  }
+  notify_(std::move(update));
+}
+
+}  // namespace saddlewing
