--- a/tests/coordination/leases/retry_quota_test.cpp
+++ b/tests/coordination/leases/retry_quota_test.cpp
@@ -29,23 +29,23 @@
   RetryQuotaAllocator allocator(56, valid, window);
   allocator.set_leading(true, start - 60s);
   std::map<std::pair<int, std::uint64_t>, std::pair<double, TimePoint>>
-      held;                                    // amount, last granted
-  std::uint64_t noise = 88172645463325252ull;  // xorshift
-  const auto draw = [&] {
-    noise ^= noise << 13;
-    noise ^= noise >> 7;
-    noise ^= noise << 17;
-    return noise;
+      held;                                           // amount, last granted
+  std::uint64_t random_state = 88172645463325252ull;  // xorshift
+  const auto next_random = [&] {
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    random_state ^= random_state << 17;
+    return random_state;
   };
   std::uint64_t incarnations[12] = {};
   for (TimePoint now = start; now < start + 200s; now += 400ms) {
     for (int broker = 0; broker < 12; ++broker) {
-      if (draw() % 40 == 0)
+      if (next_random() % 40 == 0)
         ++incarnations[broker];  // a restart
-      if (draw() % 3 == 0)
+      if (next_random() % 3 == 0)
         continue;  // not heard this time
       const double amount = allocator.grant(
-          std::to_string(broker), IncarnationId{incarnations[broker]}, draw() % 12 + 1, now);
+          std::to_string(broker), IncarnationId{incarnations[broker]}, next_random() % 12 + 1, now);
       if (amount > 0)
         held[{broker, incarnations[broker]}] = {amount, now};
     }
--- a/tests/coordination/leases/term_fence_test.cpp
+++ b/tests/coordination/leases/term_fence_test.cpp
@@ -20,9 +20,9 @@
 namespace {
 
 constexpr TimePoint start = TimePoint{} + 1000s;
-constexpr Duration lease{3000};   // of a holder on a replicated table
-constexpr Duration settle{3800};  // a new leader's takeover wait
-constexpr Duration valid{2000};   // of a retry grant
+constexpr Duration lease{3000};          // of a holder on a replicated table
+constexpr Duration takeover_wait{3800};  // a new leader's takeover wait
+constexpr Duration valid{2000};          // of a retry grant
 constexpr Duration window{10000};
 
 ControlHeartbeat heartbeat_of(std::uint64_t term, bool is_leader, IncarnationId requester,
@@ -160,7 +160,7 @@
   // The resumed leader answers them all. It read the clock for the first one just before it was
   // suspended, for the others after it. Returns how many it granted a lease.
   int answer_requests() {
-    LeaseTable leases(lease, settle);
+    LeaseTable leases(lease, takeover_wait);
     RetryQuotaAllocator allocator(56, valid, window);
     leases.start_term(suspended_at - 60s);
     allocator.set_leading(true, suspended_at - 60s);
@@ -206,7 +206,7 @@
   for (int point = 0; point < 24; ++point) {
     SuspendedLeader former(point);
     former.pile_up_requests();
-    LeaseTable leases(lease, settle);
+    LeaseTable leases(lease, takeover_wait);
     RetryQuotaAllocator allocator(56, valid, window);
     leases.start_term(*former.elected_at);
     allocator.set_leading(true, *former.elected_at);
@@ -225,7 +225,7 @@
 
 // Frames of a holder's former incarnation arrive between those of its successor.
 Test(term_fence, a_late_frame_of_a_former_incarnation_ends_no_lease) {
-  LeaseTable leases(lease, settle);
+  LeaseTable leases(lease, takeover_wait);
   leases.start_term(start - 60s);
   leases.record("pooler", IncarnationId{1}, 5, start);
   leases.grant("pooler", IncarnationId{1}, start);
