--- a/src/control_client/configuration_fetcher.cpp
+++ b/src/control_client/configuration_fetcher.cpp
@@ -25,7 +25,7 @@
   for (const SourceItem& item : selector.sources()) {
     if (item.second.version <= held)
       continue;
-    if (!best || rank(item) > rank(*best))
+    if (best == nullptr || rank(item) > rank(*best))
       best = &item;
   }
   return best;
--- a/src/control_client/control_plane_client.cpp
+++ b/src/control_client/control_plane_client.cpp
@@ -91,12 +91,14 @@
 }
 
 void ControlPlaneClient::receive_frames() {
-  for (auto& [address, link] : links_)
+  for (auto& item : links_) {
+    FrameClient& client = *item.second.client;
     handle_each(
-        max_frames_per_link, [&] { return link.client->receive(); }, Clock::now,
+        max_frames_per_link, [&] { return client.receive(); }, Clock::now,
         [&](const ReceivedFrame& frame, TimePoint received_at) {
           handle_frame(frame, received_at);
         });
+  }
 }
 
 void ControlPlaneClient::run() {
--- a/src/control_client/pooler_subscription.cpp
+++ b/src/control_client/pooler_subscription.cpp
@@ -49,7 +49,7 @@
 }
 
 void PoolerSubscription::add_samples(SubscribeRequest& request, const HeartbeatEcho& echo) const {
-  if (!echo.serial || Clock::now() - evidence_.built >= max_sample_age)
+  if (echo.serial == 0 || Clock::now() - evidence_.built >= max_sample_age)
     return;
   const TimePoint now = Clock::now();
   const Duration age = std::chrono::ceil<Duration>(now - evidence_.built);
--- a/src/coordination/databases/failover.cpp
+++ b/src/coordination/databases/failover.cpp
@@ -225,7 +225,7 @@
       propose_closing(leadership, false, service + ": " + id + " says that it does not lead");
     return;
   }
-  if (leader && now >= transition.next_step_at &&
+  if (leader != nullptr && now >= transition.next_step_at &&
       transition.outstanding_queries.insert(id).second) {
     transition.next_step_at = now + options_.status_retry_interval * leader_query_intervals;
     send_command(service, id, "STATUS", false);
--- a/src/coordination/databases/failover_election.cpp
+++ b/src/coordination/databases/failover_election.cpp
@@ -81,8 +81,9 @@
                           Duration waited) const {
   if (!comparison.best)
     return false;
-  const bool has_everything = former && comparison.best_status.position >= former->position;
-  if (former && !has_everything && waited < max_catch_up_wait)
+  const bool has_everything =
+      former != nullptr && comparison.best_status.position >= former->position;
+  if (former != nullptr && !has_everything && waited < max_catch_up_wait)
     return false;
   if (comparison.answer_count == comparison.replica_count)
     return true;
--- a/src/coordination/discovery/control_source_selector.cpp
+++ b/src/coordination/discovery/control_source_selector.cpp
@@ -214,7 +214,7 @@
     const ControlSource& source = item.second;
     if (source.last_contact == TimePoint{} || now - source.last_contact > background_timeout())
       continue;
-    if (!best || rank(item.first, source) > rank(best->first, best->second))
+    if (best == nullptr || rank(item.first, source) > rank(best->first, best->second))
       best = &item;
   }
   if (!best || best->first == selected_)
--- a/src/coordination/discovery/endpoint_table.cpp
+++ b/src/coordination/discovery/endpoint_table.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // A longer time left, from whatever peer, is taken for this.
-constexpr std::uint64_t max_remaining_ms = 24 * 60 * 60 * 1000;
+constexpr std::uint64_t max_remaining_ms = std::uint64_t{24} * 60 * 60 * 1000;
 
 TimePoint after(TimePoint now, std::uint64_t milliseconds) {
   const std::uint64_t limited = std::min(milliseconds, max_remaining_ms);
