--- a/src/broker/broker_program.cpp
+++ b/src/broker/broker_program.cpp
@@ -22,9 +22,10 @@
   ControlPlaneClient follower(
       settings, incarnation, [&loop](ViewSnapshot view) { loop.show(std::move(view)); },
       [&loop](DelegationEvent event) { loop.tell(std::move(event)); });
-  follower.set_ring([&loop](RingNews news) { loop.turn_ring(std::move(news)); });
+  follower.set_ring_listener([&loop](RingUpdate news) { loop.turn_ring(std::move(news)); });
   if (settings.has_edges)
-    follower.set_edges([&loop](EdgeNews news) { loop.turn_edges(std::move(news)); });
+    follower.set_edge_listener(
+        [&loop](EdgeUpdate news) { loop.turn_edges(std::move(news)); });
   loop.set_follower(follower);
   loop.set_sender([&follower](DelegationMessage out) { return follower.send(std::move(out)); });
   for (const Error& found : {follower.open(), loop.open()})
@@ -37,7 +38,7 @@
   loop.start();
   LOG(INFO) << "broker: started as " << settings.node_name;
   signals.serve(startup_path, false, [&](const NodeSettings& changed) {
-    follower.set_contacts(changed.contacts);
+    follower.set_seeds(changed.contacts);
     loop.read_alerts(changed.alert_rules);
   });
   follower.set_leaving();
--- a/src/control_client/control_plane_client.cpp
+++ b/src/control_client/control_plane_client.cpp
@@ -3,43 +3,45 @@
 #include <glog/logging.h>
 
 #include <algorithm>
-#include <tuple>
+#include <chrono>
 
-#include "state/compression.h"
+#include "control_client/lease_duration.h"
+#include "coordination/discovery/service_registry.h"
+#include "coordination/leases/handle_each.h"
 
 namespace saddlewing {
 namespace {
 
-constexpr Duration fetch_again{600},
-    max_fetch_duration{2400};        // a body that did not come is asked for again, elsewhere
-constexpr Duration feed_grace{120};  // for the nearest registry to hold what a farther one tells of
-constexpr std::size_t max_body_wait = max_configuration;
-constexpr Duration eager_follow{50};                  // until it is ready
-constexpr std::size_t max_steps = 64, max_aides = 4;  // max_aides: of one region
+constexpr Duration startup_request_interval{50};  // until the process is ready
+constexpr Duration max_wait{1000};
+constexpr std::size_t max_frames_per_link = 256;  // in one turn of the loop
+constexpr std::size_t max_queued_seeds = 4;
+constexpr std::size_t max_trace_events = 64;
 
 }  // namespace
 
 ControlPlaneClient::ControlPlaneClient(const NodeSettings& settings, IncarnationId incarnation,
-                                       std::function<void(ViewSnapshot)> show,
-                                       std::function<void(DelegationEvent)> tell)
+                                       std::function<void(ViewSnapshot)> publish_view,
+                                       std::function<void(DelegationEvent)> notify_delegation)
     : settings_(settings),
       incarnation_(incarnation),
       address_(Address{settings.ip_address, settings.own_port}.text()),
-      show_(std::move(show)),
-      tell_(std::move(tell)),
-      contacts_(4, [this] { waker_.wake(); }),
-      outs_(1024, [this] { waker_.wake(); }),
+      publish_view_(std::move(publish_view)),
+      seeds_(max_queued_seeds, [this] { waker_.wake(); }),
       control_source_({settings.zone, settings.region, settings.follow, settings.unconfirmed_wait},
                       incarnation, Clock::now()),
       version_switch_(settings.rollout_wait * 2),
-      born_(Clock::now()),
-      steps_(max_steps) {
-  contacts_.push(settings.contacts);
+      remote_brokers_(address_, settings.region),
+      delegations_(
+          context_, frame_server_, [this] { waker_.wake(); }, std::move(notify_delegation)),
+      trace_(max_trace_events) {
+  seeds_.push(settings.contacts);
 }
 
 Error ControlPlaneClient::open() {
   return frame_server_.open(context_, Address{settings_.ip_address, settings_.own_port});
 }
+
 void ControlPlaneClient::start() {
   thread_ = std::thread([this] { run(); });
 }
@@ -51,346 +53,173 @@
     thread_.join();
 }
 
-// One spoke to each registry that the feed knows of.
-void ControlPlaneClient::reach_all() {
-  std::erase_if(lines_,
-                [&](const auto& line) { return !control_source_.sources().contains(line.first); });
+void ControlPlaneClient::take_seeds() {
+  for (const std::vector<Address>& contacts : seeds_.take()) {
+    std::vector<std::string> seeds;
+    for (const Address& contact : contacts)
+      seeds.push_back(Address{contact.host, settings_.inner_port}.text());
+    control_source_.set_seeds(std::move(seeds), Clock::now());
+  }
+}
+
+// One connection to each registry that the selector knows of.
+void ControlPlaneClient::connect_sources() {
+  std::erase_if(links_,
+                [&](const auto& link) { return !control_source_.sources().contains(link.first); });
   for (const auto& [address, source] : control_source_.sources()) {
     Address parsed;
-    if (lines_.contains(address) || !parse_address(address, parsed))
+    if (links_.contains(address) || !parse_address(address, parsed))
       continue;
-    lines_[address].client = std::make_unique<FrameClient>(context_, parsed);
-    follow_due_ = {};
+    links_[address].client = std::make_unique<FrameClient>(context_, parsed);
+    request_due_ = {};
   }
 }
 
-void ControlPlaneClient::follow_leader() {
-  for (const auto& [address, source] : control_source_.sources())
-    if (control_source_.is_leader(source))
-      follow_one(address, false);
+// Waits for frames, wake-ups or the next thing that is due.
+void ControlPlaneClient::wait() {
+  std::vector<void*> handles{frame_server_.handle()};
+  for (const auto& [address, link] : links_)
+    handles.push_back(link.client->handle());
+  delegations_.append_handles(handles);
+  TimePoint due = request_due_;
+  if (version_switch_.is_switch_pending())
+    due = std::min(due, version_switch_.activation_deadline());
+  if (fetcher_.is_waiting(version_switch_.version_held()))
+    due = std::min(due, fetcher_.due());
+  const Duration left = std::chrono::ceil<Duration>(due - Clock::now());
+  wait_links(handles, waker_, std::clamp(left, Duration(0), max_wait));
+}
+
+void ControlPlaneClient::receive_frames() {
+  for (auto& item : links_) {
+    FrameClient& client = *item.second.client;
+    handle_each(
+        max_frames_per_link, [&] { return client.receive(); }, Clock::now,
+        [&](const ReceivedFrame& frame, TimePoint received_at) {
+          handle_frame(frame, received_at);
+        });
+  }
 }
 
 void ControlPlaneClient::run() {
-  std::vector<void*> handles;
   while (!should_stop_) {
-    for (const auto& contacts : contacts_.take()) {
-      std::vector<std::string> seeds;
-      for (const Address& contact : contacts)
-        seeds.push_back(Address{contact.host, settings_.inner_port}.text());
-      control_source_.set_seeds(std::move(seeds), Clock::now());
-    }
-    reach_all();
-    if (const std::uint64_t revision = confirmed_revision_; revision != notified_revision_) {
-      notified_revision_ = revision;
-      follow_leader();
-    }
-    if (const std::uint64_t revision = ring_confirmed_; revision != ring_told_) {
-      ring_told_ = revision;
-      follow_leader();
-    }
-    if (const TimePoint now = Clock::now(); now >= follow_due_)
-      follow_all(now);
-    handles.assign({frame_server_.handle()});
-    for (const auto& [address, line] : lines_)
-      handles.push_back(line.client->handle());
-    for (const auto& [address, client] : delegates_)
-      handles.push_back(client->handle());
-    TimePoint due =
-        version_switch_.is_turning() ? std::min(follow_due_, version_switch_.due()) : follow_due_;
-    if (fetched_ > version_switch_.held())
-      due = std::min(due, fetch_due_);
-    wait_links(
-        handles, waker_,
-        std::clamp(std::chrono::ceil<Duration>(due - Clock::now()), Duration(0), Duration(1000)));
-    for (auto& [address, line] : lines_)
-      take_each(
-          256, [&] { return line.client->receive(); }, Clock::now,
-          [&](const ReceivedFrame& frame, TimePoint came) { take(frame, came); });
+    take_seeds();
+    connect_sources();
+    if (pooler_.take_confirmation())
+      request_from_leader();
+    if (ring_.take_confirmation())
+      request_from_leader();
+    if (const TimePoint now = Clock::now(); now >= request_due_)
+      send_requests(now);
+    wait();
+    receive_frames();
     const TimePoint now = Clock::now();
-    take_hub(now);
-    send_delegations();
-    fetch(now);
-    turn(now);
-    check_ready(now);
-    if (has_news_)
+    handle_server_frames(now);
+    delegations_.relay();
+    fetch_configuration(now);
+    activate_version(now);
+    update_readiness(now);
+    if (is_view_outdated_)
       publish();
   }
 }
 
-void ControlPlaneClient::follow_all(TimePoint now) {
-  control_source_.turn(now);
-  follow_due_ = now + (is_ready_ ? settings_.follow : eager_follow);
-  for (Evidence& evidence : evidence_.take())
-    seen_ = std::move(evidence);
+void ControlPlaneClient::send_requests(TimePoint now) {
+  control_source_.begin_requests(now);
+  request_due_ = now + (is_ready_ ? settings_.follow : startup_request_interval);
+  pooler_.update_evidence();
   std::size_t position = 0;
-  for (const auto& [address, source] : control_source_.sources())
-    if (control_source_.should_ask(address, ++position, is_ready_, now))
-      follow_one(address, false);
-  choose_feed(now);
-  endpoint_table_.forget_gone(now, registry_tombstone(settings_));
-}
-
-void ControlPlaneClient::choose_feed(TimePoint now) {
-  if (const auto chosen = control_source_.choose(now))
-    follow_one(*chosen, false);
-}
-
-void ControlPlaneClient::take(const ReceivedFrame& frame, TimePoint now) {
-  ByteReader reader(frame.bytes);
-  FrameHead head;
-  if (!decode_head(reader, head))
-    return;
-  const auto found = lines_.find(head.from);
-  if (found == lines_.end())
-    return;
-  bool is_good = false;
-  if (head.kind == FrameKind::heartbeat) {
-    ControlHeartbeat heartbeat;
-    if ((is_good = decode(reader, heartbeat)))
-      handle_heartbeat(head, found->second, heartbeat, now);
-  } else if (head.kind == FrameKind::body) {
-    ConfigurationPayload body;
-    if ((is_good = decode(reader, body)))
-      take_body(std::move(body), now);
-  } else if (head.kind == FrameKind::endpoints) {
-    EndpointList endpoints;
-    if ((is_good = decode(reader, endpoints)))
-      handle_endpoints(found->second, head, endpoints, now);
-  }
-  if (!is_good) {
-    LOG_EVERY_N(WARNING, 100) << "follow: frame dropped, foreign or damaged, from " << head.from;
+  for (const auto& [address, source] : control_source_.sources()) {
+    ++position;
+    if (control_source_.should_request(address, position, is_ready_, now))
+      send_request(address, false);
   }
+  select_source(now);
+  endpoint_table_.erase_tombstones(now, tombstone_duration(settings_));
 }
 
-void ControlPlaneClient::handle_heartbeat(const FrameHead& head, Line& line,
-                                          ControlHeartbeat& heartbeat, TimePoint now) {
-  const bool was_confirmed = control_source_.is_confirmed(control_source_.chosen(), now);
-  const ControlSourceSelector::Heard last_contact = control_source_.take(head.from, heartbeat, now);
-  if (last_contact.is_steering) {
-    version_switch_.see_in_force(heartbeat.in_force);
-    if (lease_)
-      handle_leadership_lease(heartbeat, *last_contact.asked);
-    if (ring_)
-      take_ring(heartbeat, *last_contact.asked);
-    if (edges_)
-      take_edges(heartbeat);
-    if (heartbeat.grant_valid) {
-      reserve_.take(static_cast<double>(heartbeat.grant) / 1000,
-                    Duration(static_cast<std::int64_t>(
-                        std::min<std::uint64_t>(heartbeat.grant_valid, 60000))),
-                    *last_contact.asked);
-      if (now - reserve_shown_ >= settings_.follow * 2) {  // well before the one shown runs out
-        reserve_shown_ = now;
-        has_news_ = true;
-      }
-    }
-  }
-  if (last_contact.asked && sample_)
-    take_samples(line, head.incarnation, heartbeat, *last_contact.asked, now);
-  if (!is_ready_ || !was_confirmed)
-    choose_feed(now);
-  if (last_contact.asked && heartbeat.is_confirmed) {
-    if (head.from == control_source_.chosen() && heartbeat.brokers_revision != brokers_revision_ &&
-        (heartbeat.brokers_revision == 0 || !heartbeat.seats.empty()))
-      handle_broker_endpoints(heartbeat);
-    if (heartbeat.brokers != brokers_) {
-      brokers_ = std::max<std::uint64_t>(1, heartbeat.brokers);
-      has_news_ = true;
-    }
-  }
-  if (heartbeat.version > version_switch_.held())
-    fetch(now);
-  turn(now);
+void ControlPlaneClient::request_from_leader() {
+  for (const auto& [address, source] : control_source_.sources())
+    if (control_source_.is_leader(source))
+      send_request(address, false);
 }
 
-// Of each other region a few, spread by hash so that every broker is some others' choice.
-void ControlPlaneClient::handle_broker_endpoints(const ControlHeartbeat& heartbeat) {
-  brokers_revision_ = heartbeat.brokers_revision;
-  std::map<std::string, std::vector<std::pair<std::size_t, BrokerEndpoint>>> by_region;
-  for (const BrokerEndpoint& seat : heartbeat.seats)
-    if (seat.region != settings_.region)
-      by_region[seat.region].push_back({std::hash<std::string>{}(address_ + seat.address), seat});
-  std::vector<BrokerEndpoint> seats;
-  for (auto& [region, choices] : by_region) {
-    std::sort(choices.begin(), choices.end());
-    if (choices.size() > max_aides)
-      choices.resize(max_aides);
-    for (auto& [hash, seat] : choices)
-      seats.push_back(std::move(seat));
-  }
-  if (seats == seats_)
-    return;
-  seats_ = std::move(seats);
-  has_news_ = true;
-  std::erase_if(delegates_, [&](const auto& aide) {
-    return std::none_of(seats_.begin(), seats_.end(),
-                        [&](const BrokerEndpoint& seat) { return seat.address == aide.first; });
-  });
+void ControlPlaneClient::select_source(TimePoint now) {
+  if (const auto selected = control_source_.select(now))
+    send_request(*selected, false);
 }
 
-// Asks a registry that holds the newest version for its body: the feed, if it has it soon, else the
-// one heard last.
-void ControlPlaneClient::fetch(TimePoint now) {
-  const std::pair<const std::string, ControlSourceSelector::Source>* best = nullptr;
-  const bool has_feed = is_ready_ && !control_source_.chosen().empty();
-  const Version held = version_switch_.held();
-  for (const auto& item : control_source_.sources()) {
-    if (item.second.version <= held)
-      continue;
-    const auto rank = [&](const auto& one) {
-      return std::tuple(one.second.version, one.first == control_source_.chosen(),
-                        one.second.last_contact);
-    };
-    if (!best || rank(item) > rank(*best))
-      best = &item;
-  }
-  if (!best || now < fetch_due_)
-    return;
-  if (fetched_ != best->second.version) {
-    fetched_ = best->second.version;
-    fetch_pause_ = fetch_again;
-    if (has_feed && best->first != control_source_.chosen()) {
-      fetch_due_ = now + feed_grace;
-      return;
-    }
-  }
-  fetch_due_ = now + fetch_pause_;
-  fetch_pause_ =
-      std::min(fetch_pause_ * 2, max_fetch_duration);  // over a narrow link a body takes its time
-  follow_one(best->first, true);
+void ControlPlaneClient::fetch_configuration(TimePoint now) {
+  const bool has_source = is_ready_ && !control_source_.selected().empty();
+  const Version held = version_switch_.version_held();
+  if (const auto address = fetcher_.next(control_source_, held, has_source, now))
+    send_request(*address, true);
 }
 
-void ControlPlaneClient::take_body(ConfigurationPayload body, TimePoint now) {
-  if (body.version <= version_switch_.held())
-    return;  // never back within a life
-  ConfigurationSnapshot snapshot;
-  std::string text;
-  if (!unpack(body.body, max_body_wait, text)) {
-    LOG(ERROR) << "follow: configuration damaged on its way";
+void ControlPlaneClient::send_request(const std::string& address, bool wants_body) {
+  const auto found = links_.find(address);
+  const auto source = control_source_.sources().find(address);
+  if (found == links_.end() || source == control_source_.sources().end())
     return;
-  }
-  if (Error found = read_configuration(text, snapshot)) {
-    LOG(ERROR) << "follow: configuration unreadable: " << found.text();
+  const RegistryLink& link = found->second;
+  const bool is_selected = address == control_source_.selected();
+  const bool is_leader = control_source_.is_leader(source->second);
+  SubscribeRequest request;
+  request.version = version_switch_.version_held();
+  request.endpoints_incarnation = link.incarnation;
+  request.endpoints_revision = link.revision;
+  request.wants_body = wants_body;
+  request.wants_endpoints = is_selected;
+  request.region = settings_.region;
+  request.is_ready = is_ready_ && !is_leaving_;
+  request.brokers_revision = remote_brokers_.revision();
+  request.token = control_source_.last_token();
+  ring_.add_to(request, is_leader);
+  edges_.add_to(request, is_selected);
+  pooler_.add_to(request, settings_.zone, link.echo, is_leader, is_selected);
+  link.client->send(encode({FrameKind::follow, incarnation_, address_}, request));
+}
+
+void ControlPlaneClient::activate_version(TimePoint now) {
+  if (!version_switch_.activate(is_ready_, now))
     return;
-  }
-  version_switch_.take(std::move(snapshot), now);
-  fetch_due_ = {};
-  steps_.note(body.version, "held", now);
-  LOG(INFO) << "follow: edition " << body.version.value << " held";
-  turn(now);
-  follow_due_ = now;
-}
-
-void ControlPlaneClient::turn(TimePoint now) {
-  if (!version_switch_.turn(is_ready_, now))
-    return;
-  has_news_ = true;
-  steps_.note(version_switch_.serving()->version, "in force", now);
-}
-
-void ControlPlaneClient::handle_endpoints(Line& line, const FrameHead& head,
-                                          const EndpointList& endpoints, TimePoint now) {
-  if (line.incarnation !=
-      head.incarnation.value) {  // another life there: only its whole roster counts
-    if (!endpoints.is_complete)
-      return;
-    line.incarnation = head.incarnation.value;
-  } else if (endpoints.base > line.revision) {
-    return;  // a gap: the next follow tells what is held, and the rest comes again
-  }
-  for (const Endpoint& entry : endpoints.entries)
-    has_news_ |= endpoint_table_.merge(entry, now);
-  line.revision =
-      endpoints.is_complete ? endpoints.revision : std::max(line.revision, endpoints.revision);
-  control_source_.handle_endpoints(head.from);
+  is_view_outdated_ = true;
+  trace_.note(version_switch_.serving()->version, "in force", now);
 }
 
-void ControlPlaneClient::check_ready(TimePoint now) {
+void ControlPlaneClient::update_readiness(TimePoint now) {
   const ConfigurationSnapshot& serving = version_switch_.serving();
   if (is_ready_ || !serving)
     return;
-  const ControlSourceSelector::Ready ready = control_source_.judge(serving->version, now);
-  if (ready == ControlSourceSelector::Ready::no)
+  using Readiness = ControlSourceSelector::Readiness;
+  const Readiness readiness = control_source_.readiness(serving->version, now);
+  if (readiness == Readiness::no)
     return;
-  is_ready_ = has_news_ = true;
+  is_ready_ = true;
+  is_view_outdated_ = true;
   LOG(INFO) << "follow: ready by edition " << serving->version.value
-            << (ready == ControlSourceSelector::Ready::confirmed ? "" : ", unconfirmed");
+            << (readiness == Readiness::confirmed ? "" : ", unconfirmed");
 }
 
 void ControlPlaneClient::publish() {
-  has_news_ = false;
+  is_view_outdated_ = false;
   auto view = std::make_shared<View>();
   view->configuration = version_switch_.serving();
   view->is_ready = is_ready_;
-  view->brokers = brokers_;
-  view->seats = seats_;
-  view->reserve = reserve_;
+  view->brokers = broker_count_;
+  view->remote_brokers = remote_brokers_.chosen();
+  view->retry_quota = retry_quota_;
   const TimePoint now = Clock::now();
-  for (const auto& [id, line] : endpoint_table_.lines()) {
-    if (line.entry.phase == Phase::gone)
+  for (const auto& [id, leased] : endpoint_table_.endpoints()) {
+    if (leased.endpoint.phase == Phase::gone)
       continue;
-    view->backends.push_back(line.entry);
-    view->backends.back().warm_left =
-        line.warm_until > now ? static_cast<std::uint64_t>(elapsed(now, line.warm_until).count())
-                              : 0;
-  }
-  show_(std::move(view));
-}
-
-void ControlPlaneClient::take_hub(TimePoint now) {
-  for (int count = 0; count < 512; ++count) {
-    auto frame = frame_server_.receive();
-    if (!frame)
-      return;
-    ByteReader reader(frame->bytes);
-    FrameHead head;
-    if (!decode_head(reader, head))
-      continue;
-    if (head.kind == FrameKind::aid) {
-      DelegationRequested in{std::move(frame->routing_id), {}};
-      if (decode(reader, in.aid))
-        tell_(std::move(in));
-      continue;
-    }
-    if (head.kind != FrameKind::trace)
-      continue;
-    Traced traced;
-    traced.node = settings_.node_name;
-    traced.role = "broker";
-    traced.held = version_switch_.held();
-    traced.steps = steps_.tell(now);
-    traced.registries = control_source_.registries();
-    frame_server_.send(frame->routing_id,
-                       encode({FrameKind::traced, incarnation_, address_}, traced));
-  }
-}
-
-// Aids to other brokers, and outcomes of theirs. A spoke set up just now drops its first frame:
-// that aid is lost.
-void ControlPlaneClient::send_delegations() {
-  for (DelegationMessage& out : outs_.take()) {
-    if (!out.token) {
-      frame_server_.send(out.to, out.bytes);
-      continue;
-    }
-    auto& client = delegates_[out.to];
-    Address parsed;
-    if (!client && parse_address(out.to, parsed))
-      client = std::make_unique<FrameClient>(context_, parsed);
-    if (!client || !client->send(out.bytes))
-      tell_(DelegationLost{out.token});
+    Endpoint backend = leased.endpoint;
+    const bool is_warming_up = leased.warm_until > now;
+    const Duration warm_left = is_warming_up ? elapsed(now, leased.warm_until) : Duration(0);
+    backend.warm_left = static_cast<std::uint64_t>(warm_left.count());
+    view->backends.push_back(std::move(backend));
   }
-  for (const auto& [address, client] : delegates_)
-    for (int count = 0; count < 256; ++count) {
-      const auto frame = client->receive();
-      if (!frame)
-        break;
-      ByteReader reader(frame->bytes);
-      FrameHead head;
-      DelegationResult in;
-      if (decode_head(reader, head) && head.kind == FrameKind::aided && decode(reader, in.aided))
-        tell_(std::move(in));
-    }
+  publish_view_(std::move(view));
 }
 
 }  // namespace saddlewing
--- a/src/coordination/discovery/control_source_selector.cpp
+++ b/src/coordination/discovery/control_source_selector.cpp
@@ -2,170 +2,245 @@
 
 #include <algorithm>
 #include <tuple>
+#include <utility>
 
 namespace saddlewing {
 namespace {
 
-constexpr Duration feed_wait{500};  // a feed that brings nothing is changed for another
+// A source that sends no endpoints for so long is changed for another.
+constexpr Duration endpoints_timeout{500};
+
+// Request intervals without contact after which a registry counts as silent.
+constexpr int contact_timeout_intervals = 3;
+
+// Of how many turns one goes to registries that are neither leader nor source.
+constexpr std::size_t background_period = 4;
+
+// Request intervals after which a reply is too old to tell anything.
+constexpr int max_reply_age_intervals = 10;
+
+constexpr std::size_t max_hints = 16;
+
+// Ranks of proximity; a confirmed registry ranks above any that is not.
+constexpr int same_zone = 3;
+constexpr int same_region = 2;
+constexpr int elsewhere = 1;
+constexpr int confirmed_bonus = 4;
 
 bool is_in(const std::vector<std::string>& list, const std::string& address) {
   return std::find(list.begin(), list.end(), address) != list.end();
 }
 
+int proximity(const ControlSource& source, const ControlSourceOptions& options) {
+  if (source.zone == options.zone)
+    return same_zone;
+  return source.region == options.region ? same_region : elsewhere;
+}
+
 }  // namespace
 
-void ControlSourceSelector::reach(const std::string& address, TimePoint now) {
-  const auto [position, is_new] = sources_.try_emplace(address);
-  if (!is_new)
-    return;
-  position->second.known = learned_ = now;
+ControlSourceSelector::ControlSourceSelector(ControlSourceOptions options,
+                                             IncarnationId incarnation, TimePoint now)
+    : options_(std::move(options)),
+      request_clock_(incarnation),
+      started_at_(now),
+      last_source_added_(now) {
+}
+
+Duration ControlSourceSelector::contact_timeout() const {
+  return options_.request_interval * contact_timeout_intervals;
 }
 
-void ControlSourceSelector::drop_unnamed() {
-  std::erase_if(sources_, [&](const auto& source) {
-    const bool is_named = is_in(seeds_, source.first) || is_in(registries_, source.first) ||
-                          is_in(hints_, source.first);
-    if (!is_named && source.first == control_source_)
-      control_source_.clear();
-    return !is_named;
+// For a registry that gets a request only every `background_period` turns.
+Duration ControlSourceSelector::background_timeout() const {
+  return contact_timeout() * static_cast<int>(background_period);
+}
+
+void ControlSourceSelector::add_source(const std::string& address, TimePoint now) {
+  const bool is_new = sources_.try_emplace(address).second;
+  if (is_new)
+    last_source_added_ = now;
+}
+
+void ControlSourceSelector::erase_unreferenced() {
+  std::erase_if(sources_, [&](const auto& item) {
+    const std::string& address = item.first;
+    const bool is_referenced =
+        is_in(seeds_, address) || is_in(registries_, address) || is_in(hints_, address);
+    if (!is_referenced && address == selected_)
+      selected_.clear();
+    return !is_referenced;
   });
 }
 
 void ControlSourceSelector::set_seeds(std::vector<std::string> addresses, TimePoint now) {
   seeds_ = std::move(addresses);
   for (const std::string& address : seeds_)
-    reach(address, now);
-  drop_unnamed();
+    add_source(address, now);
+  erase_unreferenced();
 }
 
-std::uint64_t ControlSourceSelector::turn(TimePoint now) {
-  ++turn_;
-  return request_clock_.ask(now);
+std::uint64_t ControlSourceSelector::begin_requests(TimePoint now) {
+  ++request_count_;
+  return request_clock_.record_request(now);
 }
 
-bool ControlSourceSelector::should_ask(const std::string& address, std::size_t position,
-                                       bool is_ready, TimePoint now) const {
+bool ControlSourceSelector::has_leader(TimePoint now) const {
+  return std::any_of(sources_.begin(), sources_.end(), [&](const auto& item) {
+    return is_leader(item.second) && now - item.second.last_contact < contact_timeout();
+  });
+}
+
+bool ControlSourceSelector::should_request(const std::string& address, std::size_t position,
+                                           bool is_ready, TimePoint now) const {
   const auto found = sources_.find(address);
   if (found == sources_.end())
     return false;
-  if (!is_ready || address == control_source_ || is_leader(found->second))
+  if (!is_ready || address == selected_ || is_leader(found->second))
     return true;
-  const bool is_led = std::any_of(sources_.begin(), sources_.end(), [&](const auto& item) {
-    return is_leader(item.second) && now - item.second.last_contact < options_.follow * 3;
-  });
-  return !is_led || (turn_ + position) % seldom == 0;
+  return !has_leader(now) || (request_count_ + position) % background_period == 0;
 }
 
-ControlSourceSelector::Heard ControlSourceSelector::take(const std::string& address,
-                                                         const ControlHeartbeat& heartbeat,
-                                                         TimePoint now) {
-  Heard last_contact;
-  const bool may_steer = fence_.admits(heartbeat.term, heartbeat.is_leader);
-  last_contact.asked = request_clock_.find(heartbeat.requester, heartbeat.token);
+ControlSourceSelector::HeartbeatResult ControlSourceSelector::handle_heartbeat(
+    const std::string& address, const ControlHeartbeat& heartbeat, TimePoint now) {
+  HeartbeatResult result;
+  const bool is_admitted = fence_.admits(heartbeat.term, heartbeat.is_leader);
+  result.request_sent_at = request_clock_.sent_at(heartbeat.requester, heartbeat.token);
   const auto found = sources_.find(address);
   if (found == sources_.end())
-    return last_contact;
-  Source& source = found->second;
+    return result;
+  ControlSource& source = found->second;
   source.version = std::max(source.version, heartbeat.version);
-  // What lay in a buffer for so long tells of a time that is over.
-  if (!last_contact.asked || now - *last_contact.asked > options_.follow * 10)
+  const Duration max_reply_age = options_.request_interval * max_reply_age_intervals;
+  if (!result.request_sent_at || now - *result.request_sent_at > max_reply_age)
     return {};
-  last_contact.is_steering = may_steer;
+  result.is_authoritative = is_admitted;
+  update_source(source, heartbeat, *result.request_sent_at, now);
+  learn_addresses(address, heartbeat, now);
+  return result;
+}
+
+void ControlSourceSelector::update_source(ControlSource& source, const ControlHeartbeat& heartbeat,
+                                          TimePoint request_sent_at, TimePoint now) {
   source.term = heartbeat.term;
   source.is_leader = heartbeat.is_leader;
   source.is_filled = heartbeat.is_filled;
   source.zone = heartbeat.zone;
   source.region = heartbeat.region;
-  if (*last_contact.asked > source.answered)
-    source.answered = *last_contact.asked, source.last_contact = now;
+  if (request_sent_at > source.answered_request_at) {
+    source.answered_request_at = request_sent_at;
+    source.last_contact = now;
+  }
   if (heartbeat.is_confirmed)
-    source.confirmed = std::max(source.confirmed, *last_contact.asked);
+    source.confirmed_request_at = std::max(source.confirmed_request_at, request_sent_at);
   else
-    source.confirmed = {};
-  std::vector<std::string> told = heartbeat.registries;
+    source.confirmed_request_at = {};
+}
+
+// A confirmed registry knows the members; what others name is tried beside what is known.
+void ControlSourceSelector::learn_addresses(const std::string& from,
+                                            const ControlHeartbeat& heartbeat, TimePoint now) {
   if (heartbeat.is_confirmed) {
-    registries_ = std::move(told);
-    if (!is_in(registries_, address))
-      registries_.push_back(address);
+    registries_ = heartbeat.registries;
+    if (!is_in(registries_, from))
+      registries_.push_back(from);
     hints_.clear();
-    for (const std::string& each : registries_)
-      reach(each, now);
-    drop_unnamed();
-  } else {
-    for (std::string& each : told)
-      if (hints_.size() < max_hints && !is_in(hints_, each)) {
-        reach(each, now);
-        hints_.push_back(std::move(each));
-      }
+    for (const std::string& address : registries_)
+      add_source(address, now);
+    erase_unreferenced();
+    return;
   }
-  return last_contact;
+  for (const std::string& address : heartbeat.registries) {
+    if (hints_.size() >= max_hints || is_in(hints_, address))
+      continue;
+    add_source(address, now);
+    hints_.push_back(address);
+  }
+}
+
+void ControlSourceSelector::handle_endpoints(const std::string& address) {
+  if (const auto found = sources_.find(address); found != sources_.end())
+    found->second.has_endpoints = true;
 }
 
-bool ControlSourceSelector::is_confirmed(const Source& source, bool is_feed, TimePoint now) const {
-  if (source.confirmed == TimePoint{} ||
-      now - source.confirmed >= options_.follow * 3 * static_cast<int>(seldom))
+bool ControlSourceSelector::is_confirmed(const ControlSource& source, bool is_selected,
+                                         TimePoint now) const {
+  if (source.confirmed_request_at == TimePoint{} ||
+      now - source.confirmed_request_at >= background_timeout())
     return false;
-  return !is_feed || now - std::max(source.confirmed, source.fed) <
-                         options_.follow * 3;  // a new feed has yet to answer
+  if (!is_selected)
+    return true;
+  // A new source has yet to answer as such.
+  const TimePoint since = std::max(source.confirmed_request_at, source.selection_changed_at);
+  return now - since < contact_timeout();
 }
 
 bool ControlSourceSelector::is_confirmed(const std::string& address, TimePoint now) const {
   const auto found = sources_.find(address);
-  return found != sources_.end() && is_confirmed(found->second, address == control_source_, now);
-}
-
-// One registry's roster is enough: the nearest that is heard. Another takes its place when it falls
-// silent, or when it has no majority behind it and another has: one cut off from the core hears of
-// no cancel.
-std::optional<std::string> ControlSourceSelector::choose(TimePoint now) {
-  if (const auto found = sources_.find(control_source_); found != sources_.end()) {
-    Source& source = found->second;
-    const bool is_silent = now - std::max(source.last_contact, source.fed) > options_.follow * 3;
-    if (!is_confirmed(source, true, now))
-      source.confirmed =
-          {};  // it has to be confirmed anew, else it would come back by its former word
-    const bool is_empty = !source.has_endpoints && now - source.fed > feed_wait;
-    if (is_silent || is_empty) {
-      source.fed = now;
-      source.last_contact = {};
-      control_source_.clear();
-    }
-  }
-  const auto rank = [&](const std::string& address, const Source& source) {
-    const int way = source.zone == options_.zone ? 3 : source.region == options_.region ? 2 : 1;
-    return std::tuple(is_confirmed(source, address == control_source_, now) ? way + 4 : way,
-                      address == control_source_);
+  return found != sources_.end() && is_confirmed(found->second, address == selected_, now);
+}
+
+// Gives up a source that is silent or sends no endpoints. One that is not confirmed any more must
+// be confirmed anew, else it would be chosen again by its former replies.
+void ControlSourceSelector::check_selected(TimePoint now) {
+  const auto found = sources_.find(selected_);
+  if (found == sources_.end())
+    return;
+  ControlSource& source = found->second;
+  const TimePoint last_sign = std::max(source.last_contact, source.selection_changed_at);
+  const bool is_timed_out = now - last_sign > contact_timeout();
+  if (!is_confirmed(source, true, now))
+    source.confirmed_request_at = {};
+  const bool is_empty =
+      !source.has_endpoints && now - source.selection_changed_at > endpoints_timeout;
+  if (!is_timed_out && !is_empty)
+    return;
+  source.selection_changed_at = now;
+  source.last_contact = {};
+  selected_.clear();
+}
+
+// One registry's list of endpoints is enough. Another takes its place also when it has no majority
+// behind it and another has: a registry cut off from the others hears of no cancel.
+std::optional<std::string> ControlSourceSelector::select(TimePoint now) {
+  check_selected(now);
+  const auto rank = [&](const std::string& address, const ControlSource& source) {
+    const bool is_selected = address == selected_;
+    const int bonus = is_confirmed(source, is_selected, now) ? confirmed_bonus : 0;
+    return std::tuple(proximity(source, options_) + bonus, is_selected);
   };
-  const std::pair<const std::string, Source>* best = nullptr;
+  const std::pair<const std::string, ControlSource>* best = nullptr;
   for (const auto& item : sources_) {
-    if (item.second.last_contact == TimePoint{} ||
-        now - item.second.last_contact > options_.follow * 3 * static_cast<int>(seldom))
+    const ControlSource& source = item.second;
+    if (source.last_contact == TimePoint{} || now - source.last_contact > background_timeout())
       continue;
-    if (!best || rank(item.first, item.second) > rank(best->first, best->second))
+    if (best == nullptr || rank(item.first, source) > rank(best->first, best->second))
       best = &item;
   }
-  if (!best || best->first == control_source_)
+  if (!best || best->first == selected_)
     return std::nullopt;
-  control_source_ = best->first;
-  sources_[control_source_].fed = now;
-  return control_source_;
+  selected_ = best->first;
+  sources_[selected_].selection_changed_at = now;
+  return selected_;
 }
 
-ControlSourceSelector::Ready ControlSourceSelector::judge(Version serving, TimePoint now) const {
+ControlSourceSelector::Readiness ControlSourceSelector::readiness(Version serving,
+                                                                  TimePoint now) const {
   // An address that was learnt late is waited for as long again, but not twice.
-  const bool is_over =
-      now - std::min(learned_, born_ + options_.unconfirmed_wait) >= options_.unconfirmed_wait;
-  Ready ready = Ready::no;
+  const TimePoint wait_started =
+      std::min(last_source_added_, started_at_ + options_.unconfirmed_wait);
+  const bool is_wait_over = now - wait_started >= options_.unconfirmed_wait;
+  Readiness readiness = Readiness::no;
   for (const auto& [address, source] : sources_) {
     if (source.last_contact == TimePoint{} || !source.has_endpoints || source.version > serving)
       continue;
-    if (is_confirmed(source, address == control_source_, now) && source.is_filled &&
+    if (is_confirmed(source, address == selected_, now) && source.is_filled &&
         source.version == serving)
-      return Ready::confirmed;
-    if (is_over)
-      ready = Ready::unconfirmed;
+      return Readiness::confirmed;
+    if (is_wait_over)
+      readiness = Readiness::unconfirmed;
   }
-  return ready;
+  return readiness;
 }
 
 }  // namespace saddlewing
--- a/src/coordination/discovery/service_registry.cpp
+++ b/src/coordination/discovery/service_registry.cpp
@@ -6,222 +6,228 @@
 namespace saddlewing {
 namespace {
 
-TimePoint after(TimePoint now, std::uint64_t milliseconds) {
-  return now + Duration(static_cast<std::int64_t>(std::min<std::uint64_t>(milliseconds, 86400000)));
+constexpr Duration min_tombstone{60000};
+constexpr std::uint64_t max_renewal_age_ms =
+    60000;                              // an older renewal of a peer counts as this old
+constexpr int listings_until_gone = 2;  // pages may shift between two calls of a list
+
+// The stamp of a self-registered backend's heartbeat. The odd number after it belongs to an
+// eviction, so that the next heartbeat wins over that.
+std::uint64_t stamp_of_call(std::uint64_t call_count) {
+  return call_count * 2;
 }
-std::uint64_t left(TimePoint now, TimePoint until) {
-  return until > now ? static_cast<std::uint64_t>(elapsed(now, until).count()) : 0;
+
+std::uint64_t stamp_of_eviction(std::uint64_t call_count) {
+  return call_count * 2 + 1;
 }
 
 }  // namespace
 
-bool EndpointTable::merge(const Endpoint& entry, TimePoint now) {
-  const auto [position, is_new] = lines_.try_emplace(entry.id);
-  Line& line = position->second;
-  if (is_new) {
-    line.entry = entry;
-    line.last_heartbeat = now;
-    line.warm_until = after(now, entry.warm_left);
-    line.lease_until = after(now, entry.lease_left);
-    if (entry.phase == Phase::gone)
-      line.gone_at = now;
-    touch(line);
-    return true;
-  }
-  bool has_changed = false;
-  if (entry.phase > line.entry.phase) {
-    line.entry.phase = entry.phase;
-    if (entry.phase == Phase::gone)
-      line.gone_at = now;
-    has_changed = true;
-  }
-  if (entry.stamp > line.entry.stamp) {
-    has_changed =
-        has_changed || entry.status != line.entry.status || entry.is_leader != line.entry.is_leader;
-    line.entry.is_leader = entry.is_leader;
-    line.entry.call_count = entry.call_count;
-    line.entry.status = entry.status;
-    line.entry.stamp = entry.stamp;
-    line.lease_until = after(now, entry.lease_left);
-  } else if (entry.stamp == line.entry.stamp) {
-    line.lease_until = std::max(line.lease_until, after(now, entry.lease_left));
-  }
-  if (has_changed)
-    touch(line);
-  return has_changed;
+Duration tombstone_duration(const NodeSettings& settings) {
+  return std::max(min_tombstone, settings.reuse_wait * 10);
 }
 
-void EndpointTable::forget_gone(TimePoint now, Duration tombstone) {
-  std::erase_if(lines_, [&](const auto& item) {
-    return item.second.entry.phase == Phase::gone && now - item.second.gone_at > tombstone;
-  });
+void ServiceRegistry::set_status(LeasedEndpoint& leased, Status status) {
+  ++stamp_;
+  leased.endpoint.status = status;
+  leased.endpoint.stamp = stamp_;
+  mark_changed(leased);
 }
 
-Endpoint EndpointTable::travelling(const Line& line, TimePoint now) const {
-  Endpoint entry = line.entry;
-  entry.warm_left = left(now, line.warm_until);
-  entry.lease_left = left(now, line.lease_until);
-  return entry;
+void ServiceRegistry::set_services(std::set<std::string> services) {
+  services_ = std::move(services);
 }
 
-void ServiceRegistry::observe(const std::vector<Endpoint>& listed, TimePoint now) {
-  std::set<std::string> seen;
-  for (const Endpoint& entry : listed) {
-    seen.insert(entry.id);
-    misses_.erase(entry.id);
-    const auto found = lines_.find(entry.id);
-    if (found == lines_.end()) {  // the first appearance is its register
-      Endpoint fresh = entry;
-      fresh.status = entry.phase == Phase::ready ? Status::starting : Status::out_of_service;
-      fresh.stamp = ++stamp_;
-      fresh.lease_left = static_cast<std::uint64_t>(options_.lease.count());
-      merge(fresh, now);
-    } else if (entry.phase > found->second.entry.phase) {  // its showing as emptying is its cancel
-      found->second.entry.phase = entry.phase;
-      set_status(found->second, Status::out_of_service);
-    }
+void ServiceRegistry::set_stamp_base(std::uint64_t base) {
+  stamp_ = std::max(stamp_, base);
+}
+
+void ServiceRegistry::apply_listed(const Endpoint& entry, TimePoint now) {
+  missed_listings_.erase(entry.id);
+  const auto found = endpoints_.find(entry.id);
+  if (found == endpoints_.end()) {
+    Endpoint registered = entry;
+    registered.status = entry.phase == Phase::ready ? Status::starting : Status::out_of_service;
+    ++stamp_;
+    registered.stamp = stamp_;
+    registered.lease_left = static_cast<std::uint64_t>(options_.lease_duration.count());
+    merge(registered, now);
+    return;
   }
-  for (auto& [id, line] : lines_) {
-    if (line.entry.phase == Phase::gone || seen.contains(id))
+  LeasedEndpoint& leased = found->second;
+  if (entry.phase <= leased.endpoint.phase)
+    return;
+  leased.endpoint.phase = entry.phase;
+  set_status(leased, Status::out_of_service);
+}
+
+void ServiceRegistry::erase_unlisted(const std::set<std::string>& listed_ids, TimePoint now) {
+  for (auto& [id, leased] : endpoints_) {
+    if (leased.endpoint.phase == Phase::gone || listed_ids.contains(id))
       continue;
-    if (++misses_[id] < 2)
+    int& missed = missed_listings_[id];
+    ++missed;
+    if (missed < listings_until_gone)
       continue;
-    misses_.erase(id);
-    line.entry.phase = Phase::gone;
-    line.gone_at = now;
-    set_status(line, Status::out_of_service);
+    missed_listings_.erase(id);
+    leased.endpoint.phase = Phase::gone;
+    leased.gone_at = now;
+    set_status(leased, Status::out_of_service);
+  }
+}
+
+void ServiceRegistry::apply_listing(const std::vector<Endpoint>& listed, TimePoint now) {
+  std::set<std::string> listed_ids;
+  for (const Endpoint& entry : listed) {
+    listed_ids.insert(entry.id);
+    apply_listed(entry, now);
   }
+  erase_unlisted(listed_ids, now);
   is_filled_ = true;
 }
 
 void ServiceRegistry::renew(const std::string& id, TimePoint now) {
-  const auto found = lines_.find(id);
-  if (found == lines_.end() || found->second.entry.phase != Phase::ready)
+  const auto found = endpoints_.find(id);
+  if (found == endpoints_.end() || found->second.endpoint.phase != Phase::ready)
     return;
-  Line& line = found->second;
-  line.lease_until = now + options_.lease;
-  renewed_.insert(id);
-  if (line.entry.status == Status::starting || line.entry.status == Status::down)
-    set_status(line, Status::up);
+  LeasedEndpoint& leased = found->second;
+  leased.lease_until = now + options_.lease_duration;
+  renewals_.record(id);
+  const Status status = leased.endpoint.status;
+  if (status == Status::starting || status == Status::down)
+    set_status(leased, Status::up);
 }
 
-void ServiceRegistry::sign(const Endpoint& entry, TimePoint now) {
+void ServiceRegistry::handle_heartbeat(const Endpoint& entry, TimePoint now) {
   is_filled_ = true;
-  Endpoint told = entry;
-  told.status = told.phase == Phase::ready ? Status::up : Status::out_of_service;
-  told.stamp = told.call_count * 2;  // a sweep's DOWN stands between this call and the next
-  told.lease_left = static_cast<std::uint64_t>(options_.lease.count());
-  const auto found = lines_.find(entry.id);
-  if (found != lines_.end() && told.phase != Phase::gone &&
-      told.call_count <= found->second.entry.call_count)
+  const auto found = endpoints_.find(entry.id);
+  const bool is_late =
+      found != endpoints_.end() && entry.call_count <= found->second.endpoint.call_count;
+  if (is_late && entry.phase != Phase::gone)
     return;
-  merge(told, now);
-  Line& line = lines_[entry.id];
-  if (line.entry.phase != Phase::ready && line.entry.status != Status::out_of_service) {
-    line.entry.status = Status::out_of_service;
-    touch(line);
+  Endpoint reported = entry;
+  reported.status = reported.phase == Phase::ready ? Status::up : Status::out_of_service;
+  reported.stamp = stamp_of_call(reported.call_count);
+  reported.lease_left = static_cast<std::uint64_t>(options_.lease_duration.count());
+  merge(reported, now);
+  LeasedEndpoint& leased = endpoints_[entry.id];
+  // A cancel may have come with a lower stamp than the entry; the phase decides.
+  const bool is_cancelled = leased.endpoint.phase != Phase::ready;
+  if (is_cancelled && leased.endpoint.status != Status::out_of_service) {
+    leased.endpoint.status = Status::out_of_service;
+    mark_changed(leased);
   }
-  line.last_heartbeat = now;
-  renewed_.insert(entry.id);
-  signed_.insert(entry.id);
+  leased.last_heartbeat = now;
+  renewals_.record(entry.id);
+  pending_renewals_.insert(entry.id);
 }
 
-void ServiceRegistry::renew_signed(const RenewedIds::Item& item, TimePoint now) {
-  const auto found = lines_.find(item.id);
-  if (found == lines_.end() || item.call_count <= found->second.entry.call_count)
+void ServiceRegistry::apply_renewal(const RenewedIds::Item& item, TimePoint now) {
+  const auto found = endpoints_.find(item.id);
+  if (found == endpoints_.end() || item.call_count <= found->second.endpoint.call_count)
     return;
-  Line& line = found->second;
-  const TimePoint when =
-      now - Duration(static_cast<std::int64_t>(std::min<std::uint64_t>(item.age, 60000)));
-  line.entry.call_count = item.call_count;
-  line.entry.stamp = std::max(line.entry.stamp, item.call_count * 2);
-  line.last_heartbeat = std::max(line.last_heartbeat, when);
-  line.lease_until = std::max(line.lease_until, when + options_.lease);
-  renewed_.insert(item.id);
-  const bool is_back = line.entry.phase == Phase::ready && line.entry.status == Status::down;
-  if (is_back)
-    line.entry.status = Status::up;
-  if (is_back || line.entry.is_leader != item.is_leader)
-    touch(line);
-  line.entry.is_leader =
-      item.is_leader;  // with its count: else a role told in between would be passed over
-}
-
-RenewedIds ServiceRegistry::take_renewed(TimePoint now) {
-  RenewedIds renewed;
-  for (const std::string& id : std::exchange(signed_, {}))
-    if (const auto found = lines_.find(id);
-        found != lines_.end() && found->second.entry.phase == Phase::ready)
-      renewed.items.push_back({id, found->second.entry.call_count,
-                               static_cast<std::uint64_t>(std::max<std::int64_t>(
-                                   0, elapsed(found->second.last_heartbeat, now).count())),
-                               found->second.entry.is_leader});
-  return renewed;
-}
-
-void ServiceRegistry::sweep(TimePoint now) {
-  if (now - period_start_ >= options_.renewal) {
-    renewed_before_ = std::move(renewed_);
-    renewed_.clear();
-    period_start_ = now;
+  LeasedEndpoint& leased = found->second;
+  Endpoint& endpoint = leased.endpoint;
+  const std::uint64_t age = std::min(item.age, max_renewal_age_ms);
+  const TimePoint renewed_at = now - Duration(static_cast<std::int64_t>(age));
+  endpoint.call_count = item.call_count;
+  endpoint.stamp = std::max(endpoint.stamp, stamp_of_call(item.call_count));
+  leased.last_heartbeat = std::max(leased.last_heartbeat, renewed_at);
+  leased.lease_until = std::max(leased.lease_until, renewed_at + options_.lease_duration);
+  renewals_.record(item.id);
+  const bool is_restored = endpoint.phase == Phase::ready && endpoint.status == Status::down;
+  if (is_restored)
+    endpoint.status = Status::up;
+  if (is_restored || endpoint.is_leader != item.is_leader)
+    mark_changed(leased);
+  // The role travels with the call count: an entry with a lower count that brings it later is
+  // ignored.
+  endpoint.is_leader = item.is_leader;
+}
+
+RenewedIds ServiceRegistry::take_renewals(TimePoint now) {
+  RenewedIds renewals;
+  for (const std::string& id : std::exchange(pending_renewals_, {})) {
+    const auto found = endpoints_.find(id);
+    if (found == endpoints_.end() || found->second.endpoint.phase != Phase::ready)
+      continue;
+    const LeasedEndpoint& leased = found->second;
+    const Duration age = std::max(Duration(0), elapsed(leased.last_heartbeat, now));
+    renewals.items.push_back({id, leased.endpoint.call_count,
+                              static_cast<std::uint64_t>(age.count()), leased.endpoint.is_leader});
   }
-  if (now - last_sweep_ < options_.sweep)
-    return;
-  last_sweep_ = now;
-  std::size_t expected = 0, renewed = 0;
-  for (const auto& [id, line] : lines_) {
-    if (line.entry.phase != Phase::ready || line.entry.status != Status::up ||
-        !named_.contains(line.entry.service))
+  return renewals;
+}
+
+bool ServiceRegistry::is_serving(const LeasedEndpoint& leased) const {
+  return leased.endpoint.phase == Phase::ready && leased.endpoint.status == Status::up &&
+         services_.contains(leased.endpoint.service);
+}
+
+bool ServiceRegistry::has_enough_renewals() const {
+  std::size_t expected = 0;
+  std::size_t renewed = 0;
+  for (const auto& [id, leased] : endpoints_) {
+    if (!is_serving(leased))
       continue;
     ++expected;
-    renewed += renewed_.contains(id) || renewed_before_.contains(id);
+    if (renewals_.contains(id))
+      ++renewed;
   }
-  is_evicting_ =
-      !options_.is_preserving ||
-      static_cast<double>(renewed) >= options_.renewal_threshold * static_cast<double>(expected);
+  return static_cast<double>(renewed) >= options_.renewal_threshold * static_cast<double>(expected);
+}
+
+void ServiceRegistry::evict(LeasedEndpoint& leased) {
+  ++eviction_count_;
+  if (!options_.has_self_registration)
+    return set_status(leased, Status::down);
+  leased.endpoint.status = Status::down;
+  leased.endpoint.stamp = stamp_of_eviction(leased.endpoint.call_count);
+  mark_changed(leased);
+}
+
+void ServiceRegistry::run_eviction(TimePoint now) {
+  renewals_.advance(now);
+  if (now - last_eviction_ < options_.eviction_interval)
+    return;
+  last_eviction_ = now;
+  is_evicting_ = !options_.has_self_preservation || has_enough_renewals();
   if (is_evicting_)
-    for (auto& [id, line] : lines_)
-      if (line.entry.phase == Phase::ready && line.entry.status == Status::up &&
-          named_.contains(line.entry.service) && line.lease_until <= now) {
-        if (options_.is_signing_up) {
-          line.entry.status = Status::down;
-          line.entry.stamp = line.entry.call_count * 2 + 1;
-          touch(line);
-        } else {
-          set_status(line, Status::down);
-        }
-        ++evicted_;
-      }
-  forget_gone(now, options_.tombstone);
-}
-
-std::vector<ProbeTarget> ServiceRegistry::targets() const {
+    for (auto& [id, leased] : endpoints_)
+      if (is_serving(leased) && leased.lease_until <= now)
+        evict(leased);
+  erase_tombstones(now, options_.tombstone);
+}
+
+std::vector<ProbeTarget> ServiceRegistry::probe_targets() const {
   std::vector<ProbeTarget> targets;
-  for (const auto& [id, line] : lines_)
-    if (line.entry.phase == Phase::ready && named_.contains(line.entry.service))
-      targets.push_back(
-          {id, line.entry.address, line.entry.service, line.entry.status != Status::up});
+  for (const auto& [id, leased] : endpoints_) {
+    const Endpoint& endpoint = leased.endpoint;
+    if (endpoint.phase != Phase::ready || !services_.contains(endpoint.service))
+      continue;
+    targets.push_back({id, endpoint.address, endpoint.service, endpoint.status != Status::up});
+  }
   return targets;
 }
 
-EndpointList ServiceRegistry::since(std::uint64_t revision, TimePoint now) const {
-  EndpointList endpoints;
-  endpoints.is_complete = revision == 0;
-  endpoints.is_filled = is_filled_;
-  endpoints.base = revision;
-  endpoints.revision = revision_;
-  for (const auto& [id, line] : lines_)
-    if (line.revision > revision)
-      endpoints.entries.push_back(travelling(line, now));
-  return endpoints;
+EndpointList ServiceRegistry::changes_since(std::uint64_t revision, TimePoint now) const {
+  EndpointList list;
+  list.is_complete = revision == 0;
+  list.is_filled = is_filled_;
+  list.base = revision;
+  list.revision = revision_;
+  for (const auto& [id, leased] : endpoints_)
+    if (leased.revision > revision)
+      list.entries.push_back(with_remaining_times(leased, now));
+  return list;
 }
 
-void ServiceRegistry::take(const EndpointList& endpoints, TimePoint now) {
-  for (const Endpoint& entry : endpoints.entries) {
+void ServiceRegistry::apply_replica(const EndpointList& list, TimePoint now) {
+  for (const Endpoint& entry : list.entries) {
     merge(entry, now);
     stamp_ = std::max(stamp_, entry.stamp);
   }
-  if (endpoints.is_complete && endpoints.is_filled)
+  if (list.is_complete && list.is_filled)
     is_filled_ = true;
 }
 
--- a/src/coordination/leases/term_fence.h
+++ b/src/coordination/leases/term_fence.h
@@ -1,72 +1,35 @@
 #pragma once
-// Whose word counts, at a broker and between registries. Pure.
+// Rejects leaders of outdated terms.
+//
+// Job: remembers the highest term that this process has heard of and decides whether a sender may
+// still give orders. It does not check leases or signatures, and it keeps nothing across a restart.
+// Threading: not synchronized; one owner.
+// Source: the rule on terms in Raft (Ongaro and Ousterhout, 2014, section 5.1).
 #include <algorithm>
-#include <cstdint>
-#include <map>
-#include <optional>
 
 #include "state/types.h"
 
 namespace saddlewing {
 
-// The one rule of terms. Invariant: within one life nobody is obeyed who leads in a lower term than
-// one heard of.
+// Invariant: within one incarnation of the process, no leader is admitted whose term is lower than
+// one that was heard of before. Used by brokers and poolers, and between registries.
 class TermFence {
  public:
-  // `term`: in which the sender leads or follows a leader; 0: it knows of none. True: it steers.
+  // Records the term of a message and tells whether its sender may give orders.
+  // `term`: the term in which the sender leads or follows a leader; 0: it knows of none.
+  // `is_leader`: the sender says that it leads in that term.
   bool admits(Term term, bool is_leader) {
-    highest_ = std::max(highest_, term);
-    return is_leader && term.value != 0 && term == highest_;
-  }
-  Term highest() const {
-    return highest_;
+    highest_term_ = std::max(highest_term_, term);
+    return is_leader && term.value != 0 && term == highest_term_;
   }
 
- private:
-  Term highest_;
-};
-
-// When each asking left, by token. An answer counts from the asking that it names, however long it
-// lay in buffers, and one whose asking isn't known any more counts for nothing.
-class RequestClock {
- public:
-  explicit RequestClock(IncarnationId incarnation = {}) : incarnation_(incarnation) {
-  }
-  std::uint64_t ask(TimePoint now) {
-    asked_[++last_] = now;
-    while (asked_.size() > limit)
-      asked_.erase(asked_.begin());
-    return last_;
-  }
-  std::uint64_t last() const {
-    return last_;
-  }
-  // `requester`: the life that the answer is for; a former one at this address counted its tokens
-  // anew.
-  std::optional<TimePoint> find(IncarnationId requester, std::uint64_t token) const {
-    const auto found = asked_.find(token);
-    if (requester != incarnation_ || found == asked_.end())
-      return std::nullopt;
-    return found->second;
+  // The highest term heard of; 0 before any.
+  Term highest_term() const {
+    return highest_term_;
   }
 
  private:
-  static constexpr std::size_t limit = 128;
-  IncarnationId incarnation_;
-  std::uint64_t last_ = 0;
-  std::map<std::uint64_t, TimePoint> asked_;
+  Term highest_term_;  // never falls
 };
 
-// Takes up to `limit` of what came, reading the clock after each: a process that was frozen between
-// two of them must not hold a lease, or an answer, for as old as what it took before.
-template <class Receive, class ReadClock, class Take>
-void take_each(std::size_t limit, Receive&& receive, ReadClock&& read_clock, Take&& take) {
-  for (; limit > 0; --limit) {
-    auto came = receive();
-    if (!came)
-      return;
-    take(*came, read_clock());
-  }
-}
-
 }  // namespace saddlewing
--- a/src/pooler/pooler_loop.cpp
+++ b/src/pooler/pooler_loop.cpp
@@ -137,7 +137,7 @@
     auto views = views_.take();
     if (!views.empty())
       take_view(std::move(views.back()), now);
-    for (const SampleNews& news : samples_in_.take())
+    for (const SampleUpdate& news : samples_in_.take())
       samples_.take(news.samples, news.built);
     for (LeadershipUpdate& news : leases_.take())
       handle_leadership_lease(std::move(news), now);
--- a/src/registry/control_edges.cpp
+++ b/src/registry/control_edges.cpp
@@ -62,11 +62,10 @@
     for (const auto& [from, broker] : brokers_)
       if (!broker.is_pooler)
         held.push_back(Version{static_cast<std::int64_t>(broker.edges_held)});
-    const VersionRollout::Turn turn = edge_rollout_.advance(held, now);
-    if (turn != VersionRollout::Turn::none) {
+    const VersionRollout::Activation activation = edge_rollout_.advance(held, now);
+    if (activation != VersionRollout::Activation::none) {
       LOG(INFO) << "edges: view " << (edge_aggregator_.view()->revision & 0xffffffff)
-                << " in force, "
-                << (turn == VersionRollout::Turn::held_by_all ? "held by all" : "waited enough");
+                << " in force, " << name_of(activation);
       metrics().set(Metric::edges_revision,
                     static_cast<std::int64_t>(edge_aggregator_.view()->revision & 0xffffffff));
       for (auto& [from, broker] : brokers_)
@@ -89,10 +88,10 @@
     edge_aggregator_.add(region, counts, now);
   std::map<EdgeLatencyAggregator::Edge, double> capacity;
   std::map<std::string, double> helpers;
-  for (const auto& [id, line] : registry_.lines())
-    if (line.entry.phase == Phase::ready && line.entry.status == Status::up)
-      capacity[{line.entry.service, line.entry.zone}] +=
-          static_cast<double>(std::max<std::uint64_t>(1, line.entry.capacity));
+  for (const auto& [id, leased] : registry_.endpoints())
+    if (leased.endpoint.phase == Phase::ready && leased.endpoint.status == Status::up)
+      capacity[{leased.endpoint.service, leased.endpoint.zone}] +=
+          static_cast<double>(std::max<std::uint64_t>(1, leased.endpoint.capacity));
   constexpr double helps_at_once = 8;
   for (const auto& [from, broker] : brokers_)
     if (broker.is_ready)
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -37,13 +37,13 @@
 
 ServiceRegistryOptions service_registry_options(const NodeSettings& settings) {
   ServiceRegistryOptions options;
-  options.renewal = settings.renewal;
-  options.lease = settings.lease;
-  options.sweep = settings.sweep;
+  options.renewal_interval = settings.renewal;
+  options.lease_duration = settings.lease;
+  options.eviction_interval = settings.sweep;
   options.renewal_threshold = settings.renewal_threshold;
-  options.is_preserving = settings.is_preserving;
-  options.tombstone = registry_tombstone(settings);
-  options.is_signing_up = settings.is_signing_up;
+  options.has_self_preservation = settings.is_preserving;
+  options.tombstone = tombstone_duration(settings);
+  options.has_self_registration = settings.is_signing_up;
   return options;
 }
 
@@ -123,7 +123,7 @@
       handle_event(event, Clock::now());
     for (auto& contacts : contacts_.take())
       raft_.set_contacts(std::move(contacts));
-    take_each(
+    handle_each(
         512, [&] { return frame_server_.receive(); }, Clock::now,
         [&](const ReceivedFrame& frame, TimePoint came) { handle_frame(frame, came); });
     const TimePoint now = Clock::now();
@@ -138,7 +138,7 @@
     update_databases(now);
     update_ring(now);
     update_edges(now);
-    grants_.lead(raft_.is_leader() && raft_.is_confirmed(now), now);
+    grants_.set_leading(raft_.is_leader() && raft_.is_confirmed(now), now);
     dispatcher_->set_lease(raft_.term(), raft_.lease_until());
     update_brokers(now);
     advance_rollout(now);
@@ -167,14 +167,14 @@
     raft_.handle_save_result(saved->serial, saved->is_saved, now);
   } else if (const auto* listed = std::get_if<Listed>(&event)) {
     if (is_observing_)
-      registry_.observe(listed->entries, now);
+      registry_.apply_listing(listed->entries, now);
   } else if (const auto* renewed = std::get_if<Renewed>(&event)) {
     if (is_observing_ && !renewed->id.empty())
       registry_.renew(renewed->id, now);
   } else if (auto* backend = std::get_if<BackendCall>(&event)) {
     handle_backend_call(*backend, now);
   } else if (const auto* examined = std::get_if<Examined>(&event)) {
-    failover_.finish_order(examined->token, examined->status, now);
+    failover_.finish_command(examined->token, examined->status, now);
   } else if (const auto* told = std::get_if<NodeTold>(&event)) {
     shard_migration_.finish_order(told->token, told->answer);
   } else if (const auto* promoted = std::get_if<PromotionResult>(&event)) {
@@ -247,7 +247,7 @@
         RenewedIds renewed;
         if ((is_good = decode(reader, renewed)))
           for (const RenewedIds::Item& item : renewed.items)
-            registry_.renew_signed(item, now);
+            registry_.apply_renewal(item, now);
         break;
       }
       case FrameKind::trace:
@@ -376,7 +376,7 @@
   std::set<std::string> services;
   for (const Service& service : configuration_->services)
     services.insert(service.name);
-  registry_.name_services(std::move(services));
+  registry_.set_services(std::move(services));
   ordered_revision_ = ~0ull;
   for (auto& [from, broker] : brokers_)
     send_heartbeat(broker, false, now);
--- a/src/registry/control_ring.cpp
+++ b/src/registry/control_ring.cpp
@@ -154,9 +154,9 @@
     return {
         false, {}, "a move needs a virtual node, or `account` and its name, and a receiver", {}};
   std::set<std::string> serving;
-  for (const auto& [id, line] : registry_.lines())
-    if (line.entry.phase == Phase::ready && line.entry.status == Status::up)
-      serving.insert(line.entry.service);
+  for (const auto& [id, leased] : registry_.endpoints())
+    if (leased.endpoint.phase == Phase::ready && leased.endpoint.status == Status::up)
+      serving.insert(leased.endpoint.service);
   // What it takes off its node, against what it costs.
   double benefit = 0;
   const std::size_t taker = ring_.index_of(to);
@@ -256,7 +256,7 @@
     heartbeat.ring = ring_text_;
   if (should_leave_)
     return;
-  shard_migration_.leases().note(from.from, from.incarnation, follow.ring_revision, now);
+  shard_migration_.leases().record(from.from, from.incarnation, follow.ring_revision, now);
   heartbeat.lease = static_cast<std::uint64_t>(
       shard_migration_.leases().grant(from.from, from.incarnation, now).count());
   std::vector<std::pair<VirtualNode, RingLoad>> loads;
@@ -322,10 +322,10 @@
     value["mb_per_s"] = order.mb_s;
     value["placed"] = order.is_placed;
     const auto address_of = [&](const std::string& node) {
-      for (const auto& [id, line] : registry_.lines())
-        if (line.entry.service == node && line.entry.phase == Phase::ready &&
-            line.entry.status == Status::up)
-          return line.entry;
+      for (const auto& [id, leased] : registry_.endpoints())
+        if (leased.endpoint.service == node && leased.endpoint.phase == Phase::ready &&
+            leased.endpoint.status == Status::up)
+          return leased.endpoint;
       return Endpoint{};
     };
     value["other"] = address_of(order.other).address;
--- a/tests/coordination/placement/shard_migration_scenario.h
+++ b/tests/coordination/placement/shard_migration_scenario.h
@@ -428,9 +428,9 @@
     const Fate met = meet();
     if (met == Fate::lost || met == Fate::late)
       return;  // its answer, come late, would count from the asking: the same as none
-    moves->leases().note(name, broker.incarnation, broker.gate.confirmed(), now);
-    const Duration granted = moves->leases().grant(name, broker.incarnation, now);
-    const Duration lease = has_waits ? granted : Duration(1000);
+    moves->leases().record(name, broker.incarnation, broker.gate.confirmed(), now);
+    const Duration granted = moves->leases().grant(name, broker.incarnation, now),
+                   lease = has_waits ? granted : Duration(1000);
     if (broker.gate.view()->revision < document.revision)
       broker.gate.take(view_ring(document));
     if (lease > Duration(0))
