--- a/src/registry/control_databases.cpp
+++ b/src/registry/control_databases.cpp
@@ -53,7 +53,7 @@
     if (const RenewedIds renewed = registry_.take_renewed(now); !renewed.items.empty()) {
       const std::string bytes = encode(head(), renewed);
       for (const std::string& address : raft_.known_addresses())
-        send_to(address, bytes);
+        links_.send_to(address, bytes);
     }
   }
   const EntrySnapshot& committed = raft_.committed();
--- a/src/registry/control_discovery.cpp
+++ b/src/registry/control_discovery.cpp
@@ -49,7 +49,7 @@
   if (now < registry_due_)
     return;
   registry_due_ = now + Duration(100);
-  std::erase_if(peers_, [&](const auto& peer) { return !clients_.contains(peer.first); });
+  std::erase_if(peers_, [&](const auto& peer) { return !links_.is_connected_to(peer.first); });
   const bool is_seen_elsewhere = std::any_of(peers_.begin(), peers_.end(), [&](const auto& peer) {
     return peer.second.observed != TimePoint{} &&
            now - peer.second.observed < settings_.listing * 3;
@@ -109,7 +109,7 @@
     peer.sent_revision = registry_.revision();
     if (is_complete)
       peer.full_sync_due = now + full_sync_interval;
-    send_to(address, encode(head(), endpoints));
+    links_.send_to(address, encode(head(), endpoints));
   }
 }
 
--- a/src/registry/control_edges.cpp
+++ b/src/registry/control_edges.cpp
@@ -82,7 +82,7 @@
       sums.regions.push_back({region, counts.take()});
   if (!is_leading) {
     if (!sums.regions.empty() && !raft_.leader_address().empty())
-      send_to(raft_.leader_address(), encode(head(), sums));
+      links_.send_to(raft_.leader_address(), encode(head(), sums));
     return;
   }
   for (const auto& [region, counts] : sums.regions)
@@ -127,7 +127,7 @@
              EdgeViewFrame{raft_.term(), static_cast<std::uint64_t>(edge_rollout_.in_force().value),
                            edges_text_, edge_aggregator_.ways()});
   for (const std::string& address : raft_.known_addresses())
-    send_to(address, frame);
+    links_.send_to(address, frame);
 }
 
 std::string ControlLoop::show_edges(TimePoint now) const {
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "state/metrics.h"
 #include "state/compression.h"
+#include "state/metrics.h"
 
 namespace saddlewing {
 namespace {
@@ -54,6 +54,7 @@
     : settings_(settings),
       incarnation_(incarnation),
       address_(Address{settings.ip_address, settings.inner_port}.text()),
+      links_(context_, address_),
       events_(4096, [this] { waker_.wake(); }),
       contacts_(4, [this] { waker_.wake(); }),
       raft_(std::move(persistent), raft_options(settings, incarnation, address_),
@@ -87,34 +88,19 @@
   contacts_.replace(inner_addresses(contacts, settings_.inner_port));
 }
 
-void ControlLoop::reach(const std::string& address) {
-  if (address == address_ || clients_.contains(address))
-    return;
-  Address parsed;
-  if (parse_address(address, parsed))
-    clients_[address] = std::make_unique<FrameClient>(context_, parsed);
-}
-
-void ControlLoop::send_to(const std::string& address, const std::string& bytes) {
-  reach(address);
-  if (const auto found = clients_.find(address); found != clients_.end())
-    found->second->send(bytes);
-}
-
 void ControlLoop::run() {
   TimePoint leave_by = TimePoint::max();
   std::vector<void*> handles;
   while (Clock::now() < leave_by) {
     const auto addresses = raft_.known_addresses();
     for (const std::string& address : addresses)
-      reach(address);
-    std::erase_if(clients_, [&](const auto& client) {
-      return std::find(addresses.begin(), addresses.end(), client.first) == addresses.end() &&
-             !peers_.contains(client.first);
+      links_.connect(address);
+    links_.retain([&](const std::string& address) {
+      return std::find(addresses.begin(), addresses.end(), address) != addresses.end() ||
+             peers_.contains(address);
     });
     handles.assign({frame_server_.handle()});
-    for (const auto& [address, client] : clients_)
-      handles.push_back(client->handle());
+    links_.append_handles(handles);
     const Duration wait = std::clamp(
         std::chrono::ceil<Duration>(std::min(raft_.next_due(), registry_due_) - Clock::now()),
         Duration(0), max_wait);
@@ -127,9 +113,7 @@
         512, [&] { return frame_server_.receive(); }, Clock::now,
         [&](const ReceivedFrame& frame, TimePoint came) { handle_frame(frame, came); });
     const TimePoint now = Clock::now();
-    for (const auto& [address, client] : clients_)
-      while (client->receive()) {
-      }  // nothing is said on this way back
+    links_.discard_received();
     raft_.tick(now);
     route_calls(now);
     handle_output(now);
@@ -295,7 +279,7 @@
         raft_.propose(call.version, call.body, token, now);
     } else if (!leader.empty() && call.origin.empty()) {
       const ForwardedCall forward = calls_.send(token, leader, raft_.term());
-      send_to(leader, encode(head(), forward));
+      links_.send_to(leader, encode(head(), forward));
     } else if (!call.origin.empty()) {
       ended.push_back(token);  // passed on to one that does not lead
     }
@@ -317,8 +301,8 @@
   if (call->origin.empty())
     operator_api_->tell({call->origin_token, is_done, std::move(body)});
   else
-    send_to(call->origin,
-            encode(head(), PendingCalls::answer(*call, is_done, raft_.term(), std::move(body))));
+    links_.send_to(call->origin, encode(head(), PendingCalls::answer(*call, is_done, raft_.term(),
+                                                                     std::move(body))));
 }
 
 void ControlLoop::handle_output(TimePoint now) {
@@ -326,7 +310,7 @@
   if (output.save && !storage_->save(std::move(*output.save)))
     LOG(ERROR) << "agree: disk thread is behind";
   for (const auto& outgoing : output.messages)
-    send_to(outgoing.to, encode(head(), outgoing.message));
+    links_.send_to(outgoing.to, encode(head(), outgoing.message));
   for (const auto& result : output.results) {
     if (result.token == ~0ull)
       failover_.finish_proposal();
--- a/src/registry/control_loop.h
+++ b/src/registry/control_loop.h
@@ -4,22 +4,23 @@
 #include <map>
 #include <thread>
 
-#include "coordination/raft/raft_node.h"
-#include "coordination/raft/pending_calls.h"
-#include "coordination/routing/edge_latency.h"
 #include "coordination/databases/failover.h"
-#include "coordination/leases/term_fence.h"
-#include "coordination/leases/retry_quota.h"
+#include "coordination/databases/log_position_samples.h"
 #include "coordination/discovery/service_registry.h"
+#include "coordination/leases/retry_quota.h"
+#include "coordination/leases/term_fence.h"
 #include "coordination/placement/shard_migration.h"
+#include "coordination/raft/pending_calls.h"
+#include "coordination/raft/raft_node.h"
 #include "coordination/rollout/version_rollout.h"
-#include "coordination/databases/log_position_samples.h"
-#include "registry/operator_api.h"
-#include "registry/command_dispatcher.h"
+#include "coordination/routing/edge_latency.h"
+#include "protocol/version_trace.h"
 #include "registry/backend_monitor.h"
+#include "registry/command_dispatcher.h"
 #include "registry/events.h"
+#include "registry/operator_api.h"
+#include "registry/peer_links.h"
 #include "registry/storage_thread.h"
-#include "protocol/version_trace.h"
 #include "state/configuration.h"
 #include "state/node_settings.h"
 #include "transport/frame_link.h"
@@ -116,8 +117,6 @@
   std::string show_edges(TimePoint now) const;
   void handle_pooler(const FrameHead& from, const SubscribeRequest& follow, Broker& broker,
                      ControlHeartbeat& heartbeat, TimePoint now);
-  void send_to(const std::string& address, const std::string& bytes);
-  void reach(const std::string& address);
   FrameHead head() const {
     return {FrameKind::raft, incarnation_, address_};
   }
@@ -127,7 +126,7 @@
   const std::string address_;
   LinkContext context_;
   FrameServer frame_server_;
-  std::map<std::string, std::unique_ptr<FrameClient>> clients_;
+  PeerLinks links_;
   Waker waker_;
   BoundedQueue<ControlEvent> events_;
   BoundedQueue<std::vector<std::string>> contacts_;
