--- a/src/registry/control_databases.cpp
+++ b/src/registry/control_databases.cpp
@@ -6,7 +6,6 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::uint64_t document_token = ~0ull;  // of a proposed table of leads
 constexpr Duration renewed_every{400};
 constexpr Duration promotion_margin{100};  // of a lease: for a call of duty to leave
 constexpr Duration settle_margin{
@@ -116,7 +115,7 @@
       failover_.finish_promotion(promote.token, 0, now);
   if (output.proposal)
     raft_.propose_document(leadership_document, encode_leaderships(*output.proposal),
-                           document_token, now);
+                           leadership_proposal_token, now);
 }
 
 void ControlLoop::handle_pooler(const FrameHead& from, const SubscribeRequest& follow,
--- a/src/registry/control_discovery.cpp
+++ b/src/registry/control_discovery.cpp
@@ -16,7 +16,6 @@
 constexpr Duration start_span{15000};  // after its start a registry has not heard of all yet
 constexpr Duration settle_span{4000};  // a number of brokers that lasted so long is remembered
 constexpr const char* broker_count_document = "fleet";
-constexpr std::uint64_t fleet_token = ~0ull - 2;
 constexpr std::size_t seats_told = 4;  // of each region
 
 }  // namespace
@@ -142,7 +141,7 @@
 
 void ControlLoop::send_heartbeat(Broker& to, bool is_granting, TimePoint now,
                                  ControlHeartbeat heartbeat) {
-  heartbeat.term = led_in();
+  heartbeat.term = raft_context_.led_term();
   heartbeat.requester = to.incarnation;
   heartbeat.token = to.token;
   heartbeat.is_leader = raft_.is_leased(now);
@@ -166,11 +165,8 @@
   }
   if (heartbeat.brokers_revision == to.brokers_revision)
     heartbeat.seats.clear();
-  if (settings_.has_edges && heartbeat.is_leader && heartbeat.is_confirmed && !to.is_pooler) {
-    heartbeat.edges_in_force = static_cast<std::uint64_t>(edge_rollout_.in_force().value);
-    if (to.edges_held < edge_aggregator_.view()->revision)
-      heartbeat.edges = edges_text_;
-  }
+  if (heartbeat.is_leader && heartbeat.is_confirmed && !to.is_pooler)
+    edge_latency_service_.fill_heartbeat(to.edges_held, heartbeat);
   heartbeat.leadership_revision = leaderships_.revision;
   if (to.is_pooler && heartbeat.is_leader && to.leadership_revision < leaderships_.revision)
     heartbeat.leaderships = leaderships_text_;
@@ -211,8 +207,10 @@
     handle_pooler(from, follow, broker, heartbeat, now);
   else
     handle_ring_subscription(from, follow, heartbeat, now);
-  if (settings_.has_edges && !broker.is_pooler)
-    handle_edge_subscription(follow, broker);
+  if (!broker.is_pooler) {
+    broker.edges_held = follow.edges_held;
+    edge_latency_service_.record_counts(follow.region, follow.edge_counts);
+  }
   send_heartbeat(broker, true, now, std::move(heartbeat));
   if (follow.wants_body && configuration_ && configuration_->version > follow.version)
     frame_server_.send(routing_id,
@@ -270,7 +268,8 @@
   if (now - count_differs_since_ < settle_span)
     return;
   count_differs_since_ = now;
-  raft_.propose_document(broker_count_document, Writer().number(count).take(), fleet_token, now);
+  raft_.propose_document(broker_count_document, Writer().number(count).take(),
+                         broker_count_proposal_token, now);
 }
 
 void ControlLoop::advance_rollout(TimePoint now) {
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -59,11 +59,11 @@
       contacts_(4, [this] { waker_.wake(); }),
       raft_(std::move(persistent), raft_options(settings, incarnation, address_),
             inner_addresses(settings.contacts, settings.inner_port), Clock::now()),
+      raft_context_(raft_, incarnation, address_, should_leave_),
       registry_(service_registry_options(settings)),
       failover_(failover_options(settings)),
       shard_migration_(move_options(settings)),
-      edge_aggregator_(edge_options(settings)),
-      edge_rollout_(settings.rollout_wait),
+      edge_latency_service_(settings_, raft_context_, links_, *this),
       rollout_(settings.rollout_wait),
       grants_(settings.extra_tries, settings.follow * 5, settings.retry_span),
       calls_(incarnation),
@@ -121,7 +121,7 @@
     update_registry(now);
     update_databases(now);
     update_ring(now);
-    update_edges(now);
+    edge_latency_service_.tick(now);
     grants_.lead(raft_.is_leader() && raft_.is_confirmed(now), now);
     dispatcher_->set_lease(raft_.term(), raft_.lease_until());
     update_brokers(now);
@@ -218,13 +218,13 @@
       case FrameKind::edge_sums: {
         EdgeSums sums;
         if ((is_good = decode(reader, sums)))
-          handle_edge_sums(sums, now);
+          edge_latency_service_.handle_sums(sums, now);
         break;
       }
       case FrameKind::edge_view: {
         EdgeViewFrame frame;
         if ((is_good = decode(reader, frame)))
-          handle_edge_view(head, frame, now);
+          edge_latency_service_.handle_view(head, frame, now);
         break;
       }
       case FrameKind::renewed: {
@@ -312,9 +312,9 @@
   for (const auto& outgoing : output.messages)
     links_.send_to(outgoing.to, encode(head(), outgoing.message));
   for (const auto& result : output.results) {
-    if (result.token == ~0ull)
+    if (result.token == leadership_proposal_token)
       failover_.finish_proposal();
-    if (result.token == ~0ull - 1)
+    if (result.token == ring_proposal_token)
       shard_migration_.finish_proposal();
     PendingCalls::Call* call = calls_.find(result.token);
     if (!call)
--- a/src/registry/control_loop.h
+++ b/src/registry/control_loop.h
@@ -13,10 +13,11 @@
 #include "coordination/raft/pending_calls.h"
 #include "coordination/raft/raft_node.h"
 #include "coordination/rollout/version_rollout.h"
-#include "coordination/routing/edge_latency.h"
 #include "protocol/version_trace.h"
 #include "registry/backend_monitor.h"
 #include "registry/command_dispatcher.h"
+#include "registry/control_context.h"
+#include "registry/edge_latency_service.h"
 #include "registry/events.h"
 #include "registry/operator_api.h"
 #include "registry/peer_links.h"
@@ -31,7 +32,7 @@
 FailoverOptions failover_options(const NodeSettings& settings);
 MoveOptions move_options(const NodeSettings& settings);
 
-class ControlLoop {
+class ControlLoop final : private EdgeEnvironment {
  public:
   ControlLoop(const NodeSettings& settings, PersistentState persistent, IncarnationId incarnation);
   Error open();
@@ -87,9 +88,6 @@
   void send_status(const std::string& routing_id, TimePoint now);
   void route_calls(TimePoint now);
   void finish_call(std::uint64_t token, bool is_done, std::string body);
-  Term led_in() const {
-    return raft_.leader_address().empty() ? Term{} : raft_.term();
-  }  // a term that has a leader
   void handle_output(TimePoint now);
   void on_commit(TimePoint now);
   void update_registry(TimePoint now);
@@ -110,11 +108,9 @@
   void update_ring(TimePoint now);
   void handle_ring_subscription(const FrameHead& from, const SubscribeRequest& follow,
                                 ControlHeartbeat& heartbeat, TimePoint now);
-  void update_edges(TimePoint now);
-  void handle_edge_subscription(const SubscribeRequest& follow, Broker& broker);
-  void handle_edge_view(const FrameHead& from, const EdgeViewFrame& frame, TimePoint now);
-  void handle_edge_sums(const EdgeSums& sums, TimePoint now);
-  std::string show_edges(TimePoint now) const;
+  std::vector<Version> held_edge_views() const override;
+  Capacities edge_capacities() const override;
+  void notify_brokers(TimePoint now) override;
   void handle_pooler(const FrameHead& from, const SubscribeRequest& follow, Broker& broker,
                      ControlHeartbeat& heartbeat, TimePoint now);
   FrameHead head() const {
@@ -130,7 +126,9 @@
   Waker waker_;
   BoundedQueue<ControlEvent> events_;
   BoundedQueue<std::vector<std::string>> contacts_;
+  std::atomic<bool> should_leave_ = false, has_left_ = false;
   RaftNode raft_;
+  RaftControlContext raft_context_;
   ServiceRegistry registry_;
   OperatorApi* operator_api_ = nullptr;
   BackendMonitor* backend_monitor_ = nullptr;
@@ -166,11 +164,7 @@
     std::string bytes;
   };
   Delta delta_;  // the last one sent: most brokers need the same
-  EdgeLatencyAggregator edge_aggregator_;
-  std::map<std::string, EdgeCounts> edge_counts_;  // by region of the brokers fed here
-  VersionRollout edge_rollout_;
-  std::string edges_text_;
-  TimePoint edges_due_{}, edges_told_{};
+  EdgeLatencyService edge_latency_service_;
   LogPositionSamples samples_;  // of the poolers fed here
   Term led_term_;               // the last term the failover knew of
   TimePoint renewed_due_{};
@@ -183,13 +177,11 @@
   VersionRollout rollout_;
   RetryQuotaAllocator grants_;
   PendingCalls calls_;
-  TermFence fence_;  // of what other registries steer
   bool is_observing_ = false, was_leader_ = false, is_leaving_ = false;
   std::uint64_t ordered_revision_ = ~0ull;
   TimePoint registry_due_{}, foreign_logged_{};
   std::uint64_t foreign_ = 0;
   VersionTrace steps_;
-  std::atomic<bool> should_leave_ = false, has_left_ = false;
   std::thread thread_;
 };
 
--- a/src/registry/control_ring.cpp
+++ b/src/registry/control_ring.cpp
@@ -13,7 +13,6 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::uint64_t ring_token = ~0ull - 1;  // of a proposed sheet
 constexpr Duration ring_every{200}, watch_every{5000};
 constexpr Duration counts_are_in{3000};  // a broker that told nothing for longer is missing
 constexpr double max_late = 0.02;        // of short lookups; more, and moves pause
@@ -185,7 +184,7 @@
   if (!raft_.is_leased(now))
     return refuse("no majority of the core answers");
   if (call.verb == "edges")
-    return settings_.has_edges ? RingAnswer{true, {}, {}, show_edges(now)}
+    return settings_.has_edges ? RingAnswer{true, {}, {}, edge_latency_service_.report(now)}
                                : refuse("the view of edges is off (options.edges)");
   if (call.verb == "apply") {
     RingMap ring;
@@ -204,7 +203,7 @@
     RingDocument next = ring_document_;
     next.revision = ring_document_.revision + 1;
     next.file = call.text;
-    raft_.propose_document(ring_document, encode_ring(next), ring_token, now);
+    raft_.propose_document(ring_document, encode_ring(next), ring_proposal_token, now);
     return {true, {}, {}, "{\"edition\":" + std::to_string(ring.version.value) + "}"};
   }
   if (!ring_document_.revision)
@@ -336,7 +335,7 @@
       shard_migration_.finish_order(order.token, {});
   }
   if (output.proposal)
-    raft_.propose_document(ring_document, encode_ring(*output.proposal), ring_token, now);
+    raft_.propose_document(ring_document, encode_ring(*output.proposal), ring_proposal_token, now);
   metrics().set(Metric::ring_moves,
                 std::count_if(shard_migration_.moves().begin(), shard_migration_.moves().end(),
                               [](const RingMove& move) { return move.is_open(); }));
