--- a/src/registry/control_discovery.cpp
+++ b/src/registry/control_discovery.cpp
@@ -206,7 +206,7 @@
   if (!follow.zone.empty())
     handle_pooler(from, follow, broker, heartbeat, now);
   else
-    handle_ring_subscription(from, follow, heartbeat, now);
+    ring_service_.handle_subscription(from, follow, heartbeat, now);
   if (!broker.is_pooler) {
     broker.edges_held = follow.edges_held;
     edge_latency_service_.record_counts(follow.region, follow.edge_counts);
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -62,7 +62,7 @@
       raft_context_(raft_, incarnation, address_, should_leave_),
       registry_(service_registry_options(settings)),
       failover_(failover_options(settings)),
-      shard_migration_(move_options(settings)),
+      ring_service_(settings_, raft_context_, registry_, *this),
       edge_latency_service_(settings_, raft_context_, links_, *this),
       rollout_(settings.rollout_wait),
       grants_(settings.extra_tries, settings.follow * 5, settings.retry_span),
@@ -120,7 +120,7 @@
     on_commit(now);
     update_registry(now);
     update_databases(now);
-    update_ring(now);
+    ring_service_.tick(now);
     edge_latency_service_.tick(now);
     grants_.lead(raft_.is_leader() && raft_.is_confirmed(now), now);
     dispatcher_->set_lease(raft_.term(), raft_.lease_until());
@@ -160,7 +160,7 @@
   } else if (const auto* examined = std::get_if<Examined>(&event)) {
     failover_.finish_order(examined->token, examined->status, now);
   } else if (const auto* told = std::get_if<NodeTold>(&event)) {
-    shard_migration_.finish_order(told->token, told->answer);
+    ring_service_.finish_order(told->token, told->answer);
   } else if (const auto* promoted = std::get_if<PromotionResult>(&event)) {
     failover_.finish_promotion(promoted->token, promoted->status, now);
   }
@@ -315,7 +315,7 @@
     if (result.token == leadership_proposal_token)
       failover_.finish_proposal();
     if (result.token == ring_proposal_token)
-      shard_migration_.finish_proposal();
+      ring_service_.finish_proposal();
     PendingCalls::Call* call = calls_.find(result.token);
     if (!call)
       continue;
--- a/src/registry/control_loop.h
+++ b/src/registry/control_loop.h
@@ -9,7 +9,6 @@
 #include "coordination/discovery/service_registry.h"
 #include "coordination/leases/retry_quota.h"
 #include "coordination/leases/term_fence.h"
-#include "coordination/placement/shard_migration.h"
 #include "coordination/raft/pending_calls.h"
 #include "coordination/raft/raft_node.h"
 #include "coordination/rollout/version_rollout.h"
@@ -21,6 +20,7 @@
 #include "registry/events.h"
 #include "registry/operator_api.h"
 #include "registry/peer_links.h"
+#include "registry/ring_service.h"
 #include "registry/storage_thread.h"
 #include "state/configuration.h"
 #include "state/node_settings.h"
@@ -30,9 +30,8 @@
 
 inline constexpr Duration whole_silence{2500};  // a peer unheard for longer is not named to anyone
 FailoverOptions failover_options(const NodeSettings& settings);
-MoveOptions move_options(const NodeSettings& settings);
 
-class ControlLoop final : private EdgeEnvironment {
+class ControlLoop final : private EdgeEnvironment, private RingEnvironment {
  public:
   ControlLoop(const NodeSettings& settings, PersistentState persistent, IncarnationId incarnation);
   Error open();
@@ -100,14 +99,13 @@
   void handle_backend_call(BackendCall& call, TimePoint now);
   void update_databases(TimePoint now);
   void handle_ring_call(const std::string& routing_id, const RingCall& call, TimePoint now);
-  RingAnswer answer_ring(const RingCall& call, TimePoint now);
-  Error check_ring(const std::string& file, RingMap& ring) const;
-  RingAnswer answer_move(const RingCall& call, TimePoint now);
-  void bound_ring_reads();
-  std::string show_ring(bool has_proposals, TimePoint now);
-  void update_ring(TimePoint now);
-  void handle_ring_subscription(const FrameHead& from, const SubscribeRequest& follow,
-                                ControlHeartbeat& heartbeat, TimePoint now);
+  RingAnswer answer_operator(const RingCall& call, TimePoint now);
+  const ConfigurationSnapshot& configuration() const override {
+    return configuration_;
+  }
+  std::vector<std::string> broker_addresses() const override;
+  void send_ring(std::uint64_t revision, const std::string& encoded_ring, TimePoint now) override;
+  bool dispatch(DispatchedCommand command) override;
   std::vector<Version> held_edge_views() const override;
   Capacities edge_capacities() const override;
   void notify_brokers(TimePoint now) override;
@@ -138,18 +136,7 @@
   LeadershipTable leaderships_;   // as committed
   std::string leaderships_text_;  // the same, as it travels
   EntrySnapshot leaderships_seen_;
-  RingDocument ring_document_;  // as committed; mark 0: none
-  std::string ring_text_;
-  RingMap ring_;
-  ShardMigration shard_migration_;
-  RingLoadMonitor ring_load_monitor_{WatchOptions{}};
-  RingLoads ring_loads_{Duration(30000)};
-  AccountLoads account_loads_{Duration(30000), 256};
-  std::map<std::string, TimePoint> ring_told_;  // brokers whose counts are in
-  double lookups_ = 0, late_lookups_ = 0;
-  TimePoint ring_due_{}, ring_watched_{};
-  bool is_ring_over_ = false;
-  EntrySnapshot ring_seen_;
+  RingService ring_service_;
   // Ready brokers by region, each list ordered by the hash of its address; made anew when one came,
   // went or changed.
   using SeatRing = std::vector<std::pair<std::size_t, std::string>>;
