--- a/src/registry/control_discovery.cpp
+++ b/src/registry/control_discovery.cpp
@@ -10,8 +10,7 @@
 namespace {
 
 constexpr Duration full_sync_interval{5000};  // anti-entropy between registries
-constexpr Duration oldest_sample{1400};
-constexpr Duration broker_timeout{4000};  // then a broker no longer counts
+constexpr Duration broker_timeout{4000};      // then a broker no longer counts
 constexpr Duration count_every{100};
 constexpr Duration start_span{15000};  // after its start a registry has not heard of all yet
 constexpr Duration settle_span{4000};  // a number of brokers that lasted so long is remembered
@@ -167,11 +166,11 @@
     heartbeat.seats.clear();
   if (heartbeat.is_leader && heartbeat.is_confirmed && !to.is_pooler)
     edge_latency_service_.fill_heartbeat(to.edges_held, heartbeat);
-  heartbeat.leadership_revision = leaderships_.revision;
-  if (to.is_pooler && heartbeat.is_leader && to.leadership_revision < leaderships_.revision)
-    heartbeat.leaderships = leaderships_text_;
+  heartbeat.leadership_revision = failover_service_.revision();
+  if (to.is_pooler && heartbeat.is_leader && to.leadership_revision < failover_service_.revision())
+    heartbeat.leaderships = failover_service_.encoded_leaderships();
   if (to.is_pooler && to.wants_endpoints) {
-    heartbeat.samples = samples_.tell(now, oldest_sample);
+    heartbeat.samples = failover_service_.encode_samples(now);
     heartbeat.serial = to.heartbeats.ask(now);
   }
   frame_server_.send(to.routing_id, encode(head(), heartbeat));
@@ -203,10 +202,13 @@
   if (broker.wants_endpoints && broker.sent_revision < registry_.revision())
     notified_revision_ = ~0ull;
   ControlHeartbeat heartbeat;
-  if (!follow.zone.empty())
-    handle_pooler(from, follow, broker, heartbeat, now);
-  else
+  if (!follow.zone.empty()) {
+    broker.is_pooler = true;
+    const auto echoed_at = broker.heartbeats.find(follow.echo_incarnation, follow.echo);
+    failover_service_.handle_subscription(from, follow, echoed_at, heartbeat, now);
+  } else {
     ring_service_.handle_subscription(from, follow, heartbeat, now);
+  }
   if (!broker.is_pooler) {
     broker.edges_held = follow.edges_held;
     edge_latency_service_.record_counts(follow.region, follow.edge_counts);
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -61,7 +61,7 @@
             inner_addresses(settings.contacts, settings.inner_port), Clock::now()),
       raft_context_(raft_, incarnation, address_, should_leave_),
       registry_(service_registry_options(settings)),
-      failover_(failover_options(settings)),
+      failover_service_(settings_, raft_context_, registry_, *this),
       ring_service_(settings_, raft_context_, registry_, *this),
       edge_latency_service_(settings_, raft_context_, links_, *this),
       rollout_(settings.rollout_wait),
@@ -119,7 +119,8 @@
     handle_output(now);
     on_commit(now);
     update_registry(now);
-    update_databases(now);
+    send_renewals(now);
+    failover_service_.tick(now);
     ring_service_.tick(now);
     edge_latency_service_.tick(now);
     grants_.lead(raft_.is_leader() && raft_.is_confirmed(now), now);
@@ -158,11 +159,11 @@
   } else if (auto* backend = std::get_if<BackendCall>(&event)) {
     handle_backend_call(*backend, now);
   } else if (const auto* examined = std::get_if<Examined>(&event)) {
-    failover_.finish_order(examined->token, examined->status, now);
+    failover_service_.finish_order(examined->token, examined->status, now);
   } else if (const auto* told = std::get_if<NodeTold>(&event)) {
     ring_service_.finish_order(told->token, told->answer);
   } else if (const auto* promoted = std::get_if<PromotionResult>(&event)) {
-    failover_.finish_promotion(promoted->token, promoted->status, now);
+    failover_service_.finish_promotion(promoted->token, promoted->status, now);
   }
 }
 
@@ -313,7 +314,7 @@
     links_.send_to(outgoing.to, encode(head(), outgoing.message));
   for (const auto& result : output.results) {
     if (result.token == leadership_proposal_token)
-      failover_.finish_proposal();
+      failover_service_.finish_proposal();
     if (result.token == ring_proposal_token)
       ring_service_.finish_proposal();
     PendingCalls::Call* call = calls_.find(result.token);
--- a/src/registry/control_loop.h
+++ b/src/registry/control_loop.h
@@ -4,8 +4,6 @@
 #include <map>
 #include <thread>
 
-#include "coordination/databases/failover.h"
-#include "coordination/databases/log_position_samples.h"
 #include "coordination/discovery/service_registry.h"
 #include "coordination/leases/retry_quota.h"
 #include "coordination/leases/term_fence.h"
@@ -18,6 +16,7 @@
 #include "registry/control_context.h"
 #include "registry/edge_latency_service.h"
 #include "registry/events.h"
+#include "registry/failover_service.h"
 #include "registry/operator_api.h"
 #include "registry/peer_links.h"
 #include "registry/ring_service.h"
@@ -29,9 +28,10 @@
 namespace saddlewing {
 
 inline constexpr Duration whole_silence{2500};  // a peer unheard for longer is not named to anyone
-FailoverOptions failover_options(const NodeSettings& settings);
 
-class ControlLoop final : private EdgeEnvironment, private RingEnvironment {
+class ControlLoop final : private EdgeEnvironment,
+                          private RingEnvironment,
+                          private FailoverEnvironment {
  public:
   ControlLoop(const NodeSettings& settings, PersistentState persistent, IncarnationId incarnation);
   Error open();
@@ -97,7 +97,7 @@
   void send_heartbeat(Broker& broker, bool is_granting, TimePoint now,
                       ControlHeartbeat heartbeat = {});
   void handle_backend_call(BackendCall& call, TimePoint now);
-  void update_databases(TimePoint now);
+  void send_renewals(TimePoint now);
   void handle_ring_call(const std::string& routing_id, const RingCall& call, TimePoint now);
   RingAnswer answer_operator(const RingCall& call, TimePoint now);
   const ConfigurationSnapshot& configuration() const override {
@@ -109,8 +109,7 @@
   std::vector<Version> held_edge_views() const override;
   Capacities edge_capacities() const override;
   void notify_brokers(TimePoint now) override;
-  void handle_pooler(const FrameHead& from, const SubscribeRequest& follow, Broker& broker,
-                     ControlHeartbeat& heartbeat, TimePoint now);
+  void notify_poolers(TimePoint now) override;
   FrameHead head() const {
     return {FrameKind::raft, incarnation_, address_};
   }
@@ -132,10 +131,7 @@
   BackendMonitor* backend_monitor_ = nullptr;
   StorageThread* storage_ = nullptr;
   CommandDispatcher* dispatcher_ = nullptr;
-  Failover failover_;
-  LeadershipTable leaderships_;   // as committed
-  std::string leaderships_text_;  // the same, as it travels
-  EntrySnapshot leaderships_seen_;
+  FailoverService failover_service_;
   RingService ring_service_;
   // Ready brokers by region, each list ordered by the hash of its address; made anew when one came,
   // went or changed.
@@ -152,8 +148,6 @@
   };
   Delta delta_;  // the last one sent: most brokers need the same
   EdgeLatencyService edge_latency_service_;
-  LogPositionSamples samples_;  // of the poolers fed here
-  Term led_term_;               // the last term the failover knew of
   TimePoint renewed_due_{};
 
   std::map<std::string, Broker> brokers_;  // by inner address
