--- /dev/null
+++ b/src/registry/control_brokers.cpp
@@ -0,0 +1,141 @@
+// Subscriptions and heartbeats: what brokers and poolers are told, put together from the parts.
+#include <algorithm>
+#include <utility>
+
+#include "registry/control_loop.h"
+
+namespace saddlewing {
+namespace {
+
+constexpr Duration broker_check_interval{100};
+constexpr double delegations_per_broker = 8;     // at once
+constexpr double retry_quota_resolution = 1000;  // quotas travel in thousandths of a retry
+
+}  // namespace
+
+void ControlLoop::handle_subscribe(const std::string& routing_id, const FrameHead& from,
+                                   const SubscribeRequest& request, TimePoint now) {
+  ConnectedBroker& broker = broker_directory_.subscribe(routing_id, from, request, now);
+  if (broker.wants_endpoints && broker.endpoints_revision < registry_.revision())
+    notified_revision_ = ~0ull;
+  ControlHeartbeat heartbeat;
+  if (request.zone.empty()) {
+    ring_service_.handle_subscription(from, request, heartbeat, now);
+  } else {
+    const auto echoed_at = broker.heartbeats.find(request.echo_incarnation, request.echo);
+    failover_service_.handle_subscription(from, request, echoed_at, heartbeat, now);
+  }
+  if (!broker.is_pooler)
+    edge_latency_service_.record_counts(request.region, request.edge_counts);
+  add_retry_quota(broker, heartbeat, now);
+  send_heartbeat(broker, now, std::move(heartbeat));
+  if (request.wants_body && configuration_ && configuration_->version > request.version)
+    frame_server_.send(routing_id,
+                       encode(head(), ConfigurationPayload{configuration_->version, packed_}));
+  if (request.wants_endpoints && broker.endpoints_revision == 0 && registry_.revision() == 0)
+    frame_server_.send(routing_id, encode(head(), registry_.since(0, now)));
+}
+
+void ControlLoop::add_retry_quota(const ConnectedBroker& to, ControlHeartbeat& heartbeat,
+                                  TimePoint now) {
+  if (!raft_.is_leased(now))
+    return;
+  heartbeat.grant = static_cast<std::uint64_t>(
+      grants_.grant(to.address, to.incarnation, broker_directory_.size(), now) *
+      retry_quota_resolution);
+  heartbeat.grant_valid = static_cast<std::uint64_t>(grants_.valid().count());
+}
+
+// `heartbeat`: what goes to this receiver alone; the rest is filled in.
+void ControlLoop::send_heartbeat(ConnectedBroker& to, TimePoint now, ControlHeartbeat heartbeat) {
+  add_own_state(heartbeat, now);
+  heartbeat.requester = to.incarnation;
+  heartbeat.token = to.subscription_token;
+  if (to.is_pooler)
+    add_pooler_state(to, heartbeat, now);
+  else
+    add_broker_state(to, heartbeat);
+  frame_server_.send(to.routing_id, encode(head(), heartbeat));
+}
+
+void ControlLoop::add_own_state(ControlHeartbeat& heartbeat, TimePoint now) const {
+  heartbeat.term = raft_context_.led_term();
+  heartbeat.is_leader = raft_.is_leased(now);
+  heartbeat.zone = settings_.zone;
+  heartbeat.region = settings_.region;
+  if (raft_.committed())
+    heartbeat.version = raft_.committed()->version;
+  heartbeat.in_force = rollout_.in_force();
+  heartbeat.is_confirmed = raft_.is_confirmed(now);
+  heartbeat.is_filled = registry_.is_filled();
+  heartbeat.brokers = broker_count_memory_.estimate(broker_directory_.size(), now);
+  heartbeat.registries = raft_.known_addresses();
+  heartbeat.registries.push_back(address_);
+  heartbeat.leadership_revision = failover_service_.revision();
+}
+
+void ControlLoop::add_broker_state(const ConnectedBroker& to, ControlHeartbeat& heartbeat) {
+  if (to.wants_endpoints) {
+    BrokerChoice delegates = broker_directory_.choose_delegates(to);
+    heartbeat.brokers_revision = delegates.revision;
+    if (delegates.revision != to.brokers_revision)
+      heartbeat.seats = std::move(delegates.endpoints);
+  }
+  if (heartbeat.is_leader && heartbeat.is_confirmed)
+    edge_latency_service_.fill_heartbeat(to.edges_revision, heartbeat);
+}
+
+void ControlLoop::add_pooler_state(ConnectedBroker& to, ControlHeartbeat& heartbeat,
+                                   TimePoint now) {
+  if (heartbeat.is_leader && to.leadership_revision < failover_service_.revision())
+    heartbeat.leaderships = failover_service_.encoded_leaderships();
+  if (!to.wants_endpoints)
+    return;
+  heartbeat.samples = failover_service_.encode_samples(now);
+  heartbeat.serial = to.heartbeats.ask(now);
+}
+
+void ControlLoop::maintain_brokers(TimePoint now) {
+  if (now < broker_check_due_)
+    return;
+  broker_check_due_ = now + broker_check_interval;
+  broker_directory_.remove_silent(now);
+  broker_count_memory_.tick(broker_directory_.size(), now);
+}
+
+void ControlLoop::notify_brokers(TimePoint now) {
+  for (auto& [address, broker] : broker_directory_.brokers())
+    send_heartbeat(broker, now);
+}
+
+void ControlLoop::notify_poolers(TimePoint now) {
+  for (auto& [address, broker] : broker_directory_.brokers())
+    if (broker.is_pooler)
+      send_heartbeat(broker, now);
+}
+
+void ControlLoop::send_ring(std::uint64_t revision, const std::string& encoded_ring,
+                            TimePoint now) {
+  for (auto& [address, broker] : broker_directory_.brokers()) {
+    if (broker.is_pooler)
+      continue;
+    ControlHeartbeat heartbeat;
+    heartbeat.ring_revision = revision;
+    heartbeat.ring = encoded_ring;
+    send_heartbeat(broker, now, std::move(heartbeat));
+  }
+}
+
+EdgeEnvironment::Capacities ControlLoop::edge_capacities() const {
+  Capacities capacities;
+  for (const auto& [id, line] : registry_.lines())
+    if (line.entry.phase == Phase::ready && line.entry.status == Status::up)
+      capacities[{line.entry.service, line.entry.zone}] +=
+          static_cast<double>(std::max<std::uint64_t>(1, line.entry.capacity));
+  for (const auto& [address, broker] : broker_directory_.brokers())
+    if (broker.is_ready)
+      capacities[{"", broker.region}] += delegations_per_broker;
+  return capacities;
+}
+
+}  // namespace saddlewing
--- a/src/registry/control_databases.cpp
+++ b/src/registry/control_databases.cpp
@@ -1,4 +1,4 @@
-// Backends that send heartbeats themselves, and how the failover service sees poolers.
+// Backends that send heartbeats themselves.
 #include "registry/control_loop.h"
 
 namespace saddlewing {
@@ -43,10 +43,4 @@
     links_.send_to(address, bytes);
 }
 
-void ControlLoop::notify_poolers(TimePoint now) {
-  for (auto& [from, broker] : brokers_)
-    if (broker.is_pooler)
-      send_heartbeat(broker, false, now);
-}
-
 }  // namespace saddlewing
--- a/src/registry/control_discovery.cpp
+++ b/src/registry/control_discovery.cpp
@@ -1,4 +1,4 @@
-// The agree thread's care for the registry of backends and for the brokers.
+// The agree thread's care for the registry of backends and for what brokers know of it.
 #include <glog/logging.h>
 
 #include <algorithm>
@@ -10,12 +10,6 @@
 namespace {
 
 constexpr Duration full_sync_interval{5000};  // anti-entropy between registries
-constexpr Duration broker_timeout{4000};      // then a broker no longer counts
-constexpr Duration count_every{100};
-constexpr Duration start_span{15000};  // after its start a registry has not heard of all yet
-constexpr Duration settle_span{4000};  // a number of brokers that lasted so long is remembered
-constexpr const char* broker_count_document = "fleet";
-constexpr std::size_t seats_told = 4;  // of each region
 
 }  // namespace
 
@@ -61,7 +55,7 @@
   for (const auto& [id, line] : registry_.lines())
     up += line.entry.status == Status::up;
   metrics().set(Metric::backends_up, up);
-  metrics().set(Metric::brokers, static_cast<std::int64_t>(brokers_.size()));
+  metrics().set(Metric::brokers, static_cast<std::int64_t>(broker_directory_.size()));
   metrics().set(Metric::evictions, static_cast<std::int64_t>(registry_.evicted()));
   metrics().set(Metric::leaderships, raft_.is_leader());
   const bool has_turned = should_observe != is_observing_;
@@ -111,138 +105,20 @@
   }
 }
 
-// Of each other region a few, from the place of the receiver's own hash on, so that every broker is
-// some others' choice and one that comes or goes changes the choice of few.
-void ControlLoop::choose_seats(const Broker& to, ControlHeartbeat& heartbeat) {
-  if (are_seats_old_) {
-    are_seats_old_ = false;
-    seats_.clear();
-    for (const auto& [from, broker] : brokers_)
-      if (broker.is_ready && !broker.is_pooler)
-        seats_[broker.region].push_back({std::hash<std::string>{}(from), from});
-    for (auto& [region, seats] : seats_)
-      std::sort(seats.begin(), seats.end());
-  }
-  const std::size_t own = std::hash<std::string>{}(to.from);
-  for (const auto& [region, seats] : seats_) {
-    if (region == to.region)
-      continue;
-    auto position = static_cast<std::size_t>(
-        std::lower_bound(seats.begin(), seats.end(), std::pair(own, std::string())) -
-        seats.begin());
-    for (std::size_t count = 0; count < std::min(seats.size(), seats_told); ++count, ++position) {
-      const auto& [hash, address] = seats[position % seats.size()];
-      heartbeat.seats.push_back({address, region});
-      heartbeat.brokers_revision = heartbeat.brokers_revision * 31 + hash + 1;
-    }
-  }
-}
-
-void ControlLoop::send_heartbeat(Broker& to, bool is_granting, TimePoint now,
-                                 ControlHeartbeat heartbeat) {
-  heartbeat.term = raft_context_.led_term();
-  heartbeat.requester = to.incarnation;
-  heartbeat.token = to.token;
-  heartbeat.is_leader = raft_.is_leased(now);
-  heartbeat.zone = settings_.zone;
-  heartbeat.region = settings_.region;
-  if (raft_.committed())
-    heartbeat.version = raft_.committed()->version;
-  heartbeat.in_force = rollout_.in_force();
-  heartbeat.is_confirmed = raft_.is_confirmed(now);
-  heartbeat.is_filled = registry_.is_filled();
-  heartbeat.brokers =
-      std::max<std::uint64_t>(brokers_.size(), now - born_ < start_span ? remembered_brokers_ : 0);
-  heartbeat.registries = raft_.known_addresses();
-  heartbeat.registries.push_back(address_);
-  if (to.wants_endpoints && !to.is_pooler)
-    choose_seats(to, heartbeat);
-  if (is_granting && heartbeat.is_leader) {
-    heartbeat.grant = static_cast<std::uint64_t>(
-        grants_.grant(to.from, to.incarnation, brokers_.size(), now) * 1000);
-    heartbeat.grant_valid = static_cast<std::uint64_t>(grants_.valid().count());
-  }
-  if (heartbeat.brokers_revision == to.brokers_revision)
-    heartbeat.seats.clear();
-  if (heartbeat.is_leader && heartbeat.is_confirmed && !to.is_pooler)
-    edge_latency_service_.fill_heartbeat(to.edges_held, heartbeat);
-  heartbeat.leadership_revision = failover_service_.revision();
-  if (to.is_pooler && heartbeat.is_leader && to.leadership_revision < failover_service_.revision())
-    heartbeat.leaderships = failover_service_.encoded_leaderships();
-  if (to.is_pooler && to.wants_endpoints) {
-    heartbeat.samples = failover_service_.encode_samples(now);
-    heartbeat.serial = to.heartbeats.ask(now);
-  }
-  frame_server_.send(to.routing_id, encode(head(), heartbeat));
-}
-
-void ControlLoop::handle_subscribe(const std::string& routing_id, const FrameHead& from,
-                                   const SubscribeRequest& follow, TimePoint now) {
-  const auto [position, is_new] = brokers_.try_emplace(from.from);
-  Broker& broker = position->second;
-  if (is_new)
-    broker.heartbeats = RequestClock(incarnation_);
-  are_seats_old_ =
-      are_seats_old_ || broker.is_ready != follow.is_ready || broker.region != follow.region;
-  if (broker.held < follow.version)
-    LOG(INFO) << "registry: broker " << from.from << " holds edition " << follow.version.value;
-  broker.routing_id = routing_id;
-  broker.from = from.from;
-  broker.region = follow.region;
-  broker.incarnation = from.incarnation;
-  broker.is_ready = follow.is_ready;
-  broker.brokers_revision = follow.brokers_revision;
-  broker.held = follow.version;
-  broker.last_contact = now;
-  broker.sent_revision =
-      follow.endpoints_incarnation == incarnation_.value ? follow.endpoints_revision : 0;
-  broker.wants_endpoints = follow.wants_endpoints;
-  broker.leadership_revision = follow.leadership_revision;
-  broker.token = follow.token;
-  if (broker.wants_endpoints && broker.sent_revision < registry_.revision())
-    notified_revision_ = ~0ull;
-  ControlHeartbeat heartbeat;
-  if (!follow.zone.empty()) {
-    broker.is_pooler = true;
-    const auto echoed_at = broker.heartbeats.find(follow.echo_incarnation, follow.echo);
-    failover_service_.handle_subscription(from, follow, echoed_at, heartbeat, now);
-  } else {
-    ring_service_.handle_subscription(from, follow, heartbeat, now);
-  }
-  if (!broker.is_pooler) {
-    broker.edges_held = follow.edges_held;
-    edge_latency_service_.record_counts(follow.region, follow.edge_counts);
-  }
-  send_heartbeat(broker, true, now, std::move(heartbeat));
-  if (follow.wants_body && configuration_ && configuration_->version > follow.version)
-    frame_server_.send(routing_id,
-                       encode(head(), ConfigurationPayload{configuration_->version, packed_}));
-  if (follow.wants_endpoints && broker.sent_revision == 0 && registry_.revision() == 0)
-    frame_server_.send(routing_id, encode(head(), registry_.since(0, now)));
-}
-
 // Changes go out at once; whoever missed some says so with its next follow.
-void ControlLoop::update_brokers(TimePoint now) {
-  if (now >= counted_) {
-    counted_ = now + count_every;
-    if (std::erase_if(brokers_, [&](const auto& broker) {
-          return now - broker.second.last_contact > broker_timeout;
-        }))
-      are_seats_old_ = true;
-    remember_brokers(now);
-  }
+void ControlLoop::send_endpoint_changes(TimePoint now) {
   if (notified_revision_ == registry_.revision())
     return;
   bool has_all = true;
-  for (auto& [from, broker] : brokers_) {
-    if (!broker.wants_endpoints || broker.sent_revision >= registry_.revision())
+  for (auto& [address, broker] : broker_directory_.brokers()) {
+    if (!broker.wants_endpoints || broker.endpoints_revision >= registry_.revision())
       continue;
-    if (delta_.base != broker.sent_revision || delta_.revision != registry_.revision() ||
+    if (delta_.base != broker.endpoints_revision || delta_.revision != registry_.revision() ||
         delta_.bytes.empty())
-      delta_ = {broker.sent_revision, registry_.revision(),
-                encode(head(), registry_.since(broker.sent_revision, now))};
+      delta_ = {broker.endpoints_revision, registry_.revision(),
+                encode(head(), registry_.since(broker.endpoints_revision, now))};
     if (frame_server_.send(broker.routing_id, delta_.bytes))
-      broker.sent_revision = registry_.revision();
+      broker.endpoints_revision = registry_.revision();
     else
       has_all = false;
   }
@@ -250,43 +126,15 @@
     notified_revision_ = registry_.revision();
 }
 
-// After a loss of all power every broker is the first one heard. What each may open is by the
-// number that there was.
-void ControlLoop::remember_brokers(TimePoint now) {
-  if (const EntrySnapshot& committed = raft_.committed()) {
-    const auto document = committed->documents.find(broker_count_document);
-    ByteReader reader(document != committed->documents.end() ? std::string_view(document->second)
-                                                             : std::string_view());
-    if (const std::uint64_t count = reader.number(); reader.is_complete())
-      remembered_brokers_ = count;
-  }
-  const std::uint64_t count = brokers_.size();
-  const std::uint64_t off =
-      count > remembered_brokers_ ? count - remembered_brokers_ : remembered_brokers_ - count;
-  const bool differs = raft_.is_leader() && raft_.is_leased(now) && now - born_ > start_span &&
-                       count > 0 && off * 4 > remembered_brokers_;
-  if (!differs)
-    count_differs_since_ = now;
-  if (now - count_differs_since_ < settle_span)
-    return;
-  count_differs_since_ = now;
-  raft_.propose_document(broker_count_document, Writer().number(count).take(),
-                         broker_count_proposal_token, now);
-}
-
 void ControlLoop::advance_rollout(TimePoint now) {
   if (!rollout_.is_pending() || (raft_.is_leader() && !raft_.is_leased(now)))
     return;
-  std::vector<Version> held;
-  for (const auto& [from, broker] : brokers_)
-    held.push_back(broker.held);
-  const VersionRollout::Turn turn = rollout_.advance(held, now);
+  const VersionRollout::Turn turn = rollout_.advance(broker_directory_.held_versions(), now);
   if (turn == VersionRollout::Turn::none)
     return;
   steps_.note(rollout_.in_force(),
               turn == VersionRollout::Turn::held_by_all ? "held by all" : "waited enough", now);
-  for (auto& [from, broker] : brokers_)
-    send_heartbeat(broker, false, now);
+  notify_brokers(now);
 }
 
 void ControlLoop::handle_trace(const std::string& routing_id, TimePoint now) {
@@ -299,8 +147,7 @@
   traced.steps = steps_.tell(now);
   traced.registries = raft_.known_addresses();
   traced.registries.push_back(address_);
-  for (const auto& [from, broker] : brokers_)
-    traced.brokers.push_back(from);
+  traced.brokers = broker_directory_.addresses();
   frame_server_.send(routing_id, encode(head(), traced));
 }
 
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -63,12 +63,13 @@
       registry_(service_registry_options(settings)),
       failover_service_(settings_, raft_context_, registry_, *this),
       ring_service_(settings_, raft_context_, registry_, *this),
+      broker_directory_(incarnation),
+      broker_count_memory_(raft_context_, Clock::now()),
       edge_latency_service_(settings_, raft_context_, links_, *this),
       rollout_(settings.rollout_wait),
       grants_(settings.extra_tries, settings.follow * 5, settings.retry_span),
       calls_(incarnation),
       steps_(max_steps) {
-  born_ = Clock::now();
 }
 
 Error ControlLoop::open() {
@@ -125,7 +126,8 @@
     edge_latency_service_.tick(now);
     grants_.lead(raft_.is_leader() && raft_.is_confirmed(now), now);
     dispatcher_->set_lease(raft_.term(), raft_.lease_until());
-    update_brokers(now);
+    maintain_brokers(now);
+    send_endpoint_changes(now);
     advance_rollout(now);
     handle_output(now);
     if (should_leave_ && leave_by == TimePoint::max()) {
@@ -363,9 +365,8 @@
     services.insert(service.name);
   registry_.name_services(std::move(services));
   ordered_revision_ = ~0ull;
-  for (auto& [from, broker] : brokers_)
-    send_heartbeat(broker, false, now);
-  if (!brokers_.empty())
+  notify_brokers(now);
+  if (broker_directory_.size() > 0)
     steps_.note(noted_->version, "sent", now);
 }
 
--- a/src/registry/control_loop.h
+++ b/src/registry/control_loop.h
@@ -6,12 +6,13 @@
 
 #include "coordination/discovery/service_registry.h"
 #include "coordination/leases/retry_quota.h"
-#include "coordination/leases/term_fence.h"
 #include "coordination/raft/pending_calls.h"
 #include "coordination/raft/raft_node.h"
 #include "coordination/rollout/version_rollout.h"
 #include "protocol/version_trace.h"
 #include "registry/backend_monitor.h"
+#include "registry/broker_count_memory.h"
+#include "registry/broker_directory.h"
 #include "registry/command_dispatcher.h"
 #include "registry/control_context.h"
 #include "registry/edge_latency_service.h"
@@ -54,19 +55,6 @@
   }
 
  private:
-  struct Broker {
-    std::string routing_id, from, region;
-    IncarnationId incarnation;
-    bool is_ready = false;
-    std::uint64_t brokers_revision = 0;  // of the seats it knows
-    Version held;
-    std::uint64_t sent_revision = 0;
-    bool wants_endpoints = false, is_pooler = false;
-    std::uint64_t token = 0, leadership_revision = 0;  // of its last follow
-    std::uint64_t edges_held = 0;
-    RequestClock heartbeats;  // of a pooler: when the last ones left, by serial
-    TimePoint last_contact;
-  };
   struct Peer {
     IncarnationId incarnation;
     std::uint64_t sent_revision = 0,
@@ -81,7 +69,7 @@
   void handle_event(ControlEvent& event, TimePoint now);
   void handle_frame(const ReceivedFrame& frame, TimePoint now);
   void handle_subscribe(const std::string& routing_id, const FrameHead& head,
-                        const SubscribeRequest& follow, TimePoint now);
+                        const SubscribeRequest& request, TimePoint now);
   void handle_endpoints(const FrameHead& head, const EndpointList& endpoints, TimePoint now);
   void handle_trace(const std::string& routing_id, TimePoint now);
   void send_status(const std::string& routing_id, TimePoint now);
@@ -90,12 +78,14 @@
   void handle_output(TimePoint now);
   void on_commit(TimePoint now);
   void update_registry(TimePoint now);
-  void update_brokers(TimePoint now);
+  void send_endpoint_changes(TimePoint now);
+  void maintain_brokers(TimePoint now);
   void advance_rollout(TimePoint now);
-  void choose_seats(const Broker& to, ControlHeartbeat& heartbeat);
-  void remember_brokers(TimePoint now);
-  void send_heartbeat(Broker& broker, bool is_granting, TimePoint now,
-                      ControlHeartbeat heartbeat = {});
+  void add_retry_quota(const ConnectedBroker& to, ControlHeartbeat& heartbeat, TimePoint now);
+  void add_own_state(ControlHeartbeat& heartbeat, TimePoint now) const;
+  void add_broker_state(const ConnectedBroker& to, ControlHeartbeat& heartbeat);
+  void add_pooler_state(ConnectedBroker& to, ControlHeartbeat& heartbeat, TimePoint now);
+  void send_heartbeat(ConnectedBroker& to, TimePoint now, ControlHeartbeat heartbeat = {});
   void handle_backend_call(BackendCall& call, TimePoint now);
   void send_renewals(TimePoint now);
   void handle_ring_call(const std::string& routing_id, const RingCall& call, TimePoint now);
@@ -103,10 +93,14 @@
   const ConfigurationSnapshot& configuration() const override {
     return configuration_;
   }
-  std::vector<std::string> broker_addresses() const override;
+  std::vector<std::string> broker_addresses() const override {
+    return broker_directory_.broker_addresses();
+  }
   void send_ring(std::uint64_t revision, const std::string& encoded_ring, TimePoint now) override;
   bool dispatch(DispatchedCommand command) override;
-  std::vector<Version> held_edge_views() const override;
+  std::vector<Version> held_edge_views() const override {
+    return broker_directory_.held_edge_views();
+  }
   Capacities edge_capacities() const override;
   void notify_brokers(TimePoint now) override;
   void notify_poolers(TimePoint now) override;
@@ -133,14 +127,9 @@
   CommandDispatcher* dispatcher_ = nullptr;
   FailoverService failover_service_;
   RingService ring_service_;
-  // Ready brokers by region, each list ordered by the hash of its address; made anew when one came,
-  // went or changed.
-  using SeatRing = std::vector<std::pair<std::size_t, std::string>>;
-  std::map<std::string, SeatRing> seats_;
-  bool are_seats_old_ = true;
-  // How many brokers there were, agreed, for the moments after all of them started anew.
-  std::uint64_t remembered_brokers_ = 0;
-  TimePoint born_{}, counted_{}, count_differs_since_{};
+  BrokerDirectory broker_directory_;
+  BrokerCountMemory broker_count_memory_;
+  TimePoint broker_check_due_{};
   std::uint64_t notified_revision_ = ~0ull;  // of the registry when every broker fed here had it
   struct Delta {
     std::uint64_t base = 0, revision = 0;
@@ -150,9 +139,8 @@
   EdgeLatencyService edge_latency_service_;
   TimePoint renewed_due_{};
 
-  std::map<std::string, Broker> brokers_;  // by inner address
-  std::map<std::string, Peer> peers_;      // by inner address
-  EntrySnapshot noted_;                    // the committed entry that was made known
+  std::map<std::string, Peer> peers_;  // by inner address
+  EntrySnapshot noted_;                // the committed entry that was made known
   ConfigurationSnapshot configuration_;
   std::string packed_;  // its body, as brokers get it
   VersionRollout rollout_;
--- a/src/registry/control_ring.cpp
+++ b/src/registry/control_ring.cpp
@@ -1,4 +1,4 @@
-// Operators' calls, and how the ring service sees brokers and the command dispatcher.
+// Operators' calls, by the frame protocol.
 #include <utility>
 
 #include "registry/control_loop.h"
@@ -25,26 +25,6 @@
   frame_server_.send(routing_id, encode(head(), answer_operator(call, now)));
 }
 
-std::vector<std::string> ControlLoop::broker_addresses() const {
-  std::vector<std::string> addresses;
-  for (const auto& [from, broker] : brokers_)
-    if (!broker.is_pooler)
-      addresses.push_back(from);
-  return addresses;
-}
-
-void ControlLoop::send_ring(std::uint64_t revision, const std::string& encoded_ring,
-                            TimePoint now) {
-  for (auto& [from, broker] : brokers_) {
-    if (broker.is_pooler)
-      continue;
-    ControlHeartbeat heartbeat;
-    heartbeat.ring_revision = revision;
-    heartbeat.ring = encoded_ring;
-    send_heartbeat(broker, false, now, std::move(heartbeat));
-  }
-}
-
 bool ControlLoop::dispatch(DispatchedCommand command) {
   return dispatcher_->order(std::move(command));
 }
