--- a/src/registry/control_brokers.cpp
+++ b/src/registry/control_brokers.cpp
@@ -16,8 +16,7 @@
 void ControlLoop::handle_subscribe(const std::string& routing_id, const FrameHead& from,
                                    const SubscribeRequest& request, TimePoint now) {
   ConnectedBroker& broker = broker_directory_.subscribe(routing_id, from, request, now);
-  if (broker.wants_endpoints && broker.endpoints_revision < registry_.revision())
-    notified_revision_ = ~0ull;
+  endpoint_publisher_.handle_subscription(broker);
   ControlHeartbeat heartbeat;
   if (request.zone.empty()) {
     ring_service_.handle_subscription(from, request, heartbeat, now);
@@ -32,8 +31,7 @@
   if (request.wants_body && configuration_ && configuration_->version > request.version)
     frame_server_.send(routing_id,
                        encode(head(), ConfigurationPayload{configuration_->version, packed_}));
-  if (request.wants_endpoints && broker.endpoints_revision == 0 && registry_.revision() == 0)
-    frame_server_.send(routing_id, encode(head(), registry_.since(0, now)));
+  endpoint_publisher_.send_empty_list(broker, now);
 }
 
 void ControlLoop::add_retry_quota(const ConnectedBroker& to, ControlHeartbeat& heartbeat,
@@ -67,7 +65,7 @@
     heartbeat.version = raft_.committed()->version;
   heartbeat.in_force = rollout_.in_force();
   heartbeat.is_confirmed = raft_.is_confirmed(now);
-  heartbeat.is_filled = registry_.is_filled();
+  heartbeat.is_filled = discovery_service_.registry().is_filled();
   heartbeat.brokers = broker_count_memory_.estimate(broker_directory_.size(), now);
   heartbeat.registries = raft_.known_addresses();
   heartbeat.registries.push_back(address_);
@@ -103,6 +101,17 @@
   broker_count_memory_.tick(broker_directory_.size(), now);
 }
 
+void ControlLoop::advance_rollout(TimePoint now) {
+  if (!rollout_.is_pending() || (raft_.is_leader() && !raft_.is_leased(now)))
+    return;
+  const VersionRollout::Turn turn = rollout_.advance(broker_directory_.held_versions(), now);
+  if (turn == VersionRollout::Turn::none)
+    return;
+  steps_.note(rollout_.in_force(),
+              turn == VersionRollout::Turn::held_by_all ? "held by all" : "waited enough", now);
+  notify_brokers(now);
+}
+
 void ControlLoop::notify_brokers(TimePoint now) {
   for (auto& [address, broker] : broker_directory_.brokers())
     send_heartbeat(broker, now);
@@ -128,7 +137,7 @@
 
 EdgeEnvironment::Capacities ControlLoop::edge_capacities() const {
   Capacities capacities;
-  for (const auto& [id, line] : registry_.lines())
+  for (const auto& [id, line] : discovery_service_.registry().lines())
     if (line.entry.phase == Phase::ready && line.entry.status == Status::up)
       capacities[{line.entry.service, line.entry.zone}] +=
           static_cast<double>(std::max<std::uint64_t>(1, line.entry.capacity));
--- a/src/registry/control_context.h
+++ b/src/registry/control_context.h
@@ -34,6 +34,8 @@
   virtual bool is_leader() const = 0;
   // Leads, and nobody else can lead before `now`.
   virtual bool is_leased(TimePoint now) const = 0;
+  // A quorum stands behind what this registry holds committed.
+  virtual bool is_confirmed(TimePoint now) const = 0;
   // End of the leader's lease; TimePoint{} without one.
   virtual TimePoint lease_until() const = 0;
   // Inner address of the leader; empty while none is known.
@@ -78,6 +80,9 @@
   bool is_leased(TimePoint now) const override {
     return raft_.is_leased(now);
   }
+  bool is_confirmed(TimePoint now) const override {
+    return raft_.is_confirmed(now);
+  }
   TimePoint lease_until() const override {
     return raft_.lease_until();
   }
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -35,18 +35,6 @@
   return options;
 }
 
-ServiceRegistryOptions service_registry_options(const NodeSettings& settings) {
-  ServiceRegistryOptions options;
-  options.renewal = settings.renewal;
-  options.lease = settings.lease;
-  options.sweep = settings.sweep;
-  options.renewal_threshold = settings.renewal_threshold;
-  options.is_preserving = settings.is_preserving;
-  options.tombstone = registry_tombstone(settings);
-  options.is_signing_up = settings.is_signing_up;
-  return options;
-}
-
 }  // namespace
 
 ControlLoop::ControlLoop(const NodeSettings& settings, PersistentState persistent,
@@ -60,11 +48,13 @@
       raft_(std::move(persistent), raft_options(settings, incarnation, address_),
             inner_addresses(settings.contacts, settings.inner_port), Clock::now()),
       raft_context_(raft_, incarnation, address_, should_leave_),
-      registry_(service_registry_options(settings)),
-      failover_service_(settings_, raft_context_, registry_, *this),
-      ring_service_(settings_, raft_context_, registry_, *this),
+      discovery_service_(settings_, raft_context_, links_, *this),
+      failover_service_(settings_, raft_context_, discovery_service_.registry(), *this),
+      ring_service_(settings_, raft_context_, discovery_service_.registry(), *this),
       broker_directory_(incarnation),
       broker_count_memory_(raft_context_, Clock::now()),
+      endpoint_publisher_(raft_context_, discovery_service_.registry(), broker_directory_,
+                          reply_sender_),
       edge_latency_service_(settings_, raft_context_, links_, *this),
       rollout_(settings.rollout_wait),
       grants_(settings.extra_tries, settings.follow * 5, settings.retry_span),
@@ -98,13 +88,14 @@
       links_.connect(address);
     links_.retain([&](const std::string& address) {
       return std::find(addresses.begin(), addresses.end(), address) != addresses.end() ||
-             peers_.contains(address);
+             discovery_service_.knows_peer(address);
     });
     handles.assign({frame_server_.handle()});
     links_.append_handles(handles);
-    const Duration wait = std::clamp(
-        std::chrono::ceil<Duration>(std::min(raft_.next_due(), registry_due_) - Clock::now()),
-        Duration(0), max_wait);
+    const Duration wait =
+        std::clamp(std::chrono::ceil<Duration>(
+                       std::min(raft_.next_due(), discovery_service_.next_due()) - Clock::now()),
+                   Duration(0), max_wait);
     wait_links(handles, waker_, wait);
     for (ControlEvent& event : events_.take())
       handle_event(event, Clock::now());
@@ -119,15 +110,16 @@
     route_calls(now);
     handle_output(now);
     on_commit(now);
-    update_registry(now);
-    send_renewals(now);
+    if (discovery_service_.tick(now))
+      update_metrics();
+    discovery_service_.send_renewals(now);
     failover_service_.tick(now);
     ring_service_.tick(now);
     edge_latency_service_.tick(now);
     grants_.lead(raft_.is_leader() && raft_.is_confirmed(now), now);
     dispatcher_->set_lease(raft_.term(), raft_.lease_until());
     maintain_brokers(now);
-    send_endpoint_changes(now);
+    endpoint_publisher_.tick(now);
     advance_rollout(now);
     handle_output(now);
     if (should_leave_ && leave_by == TimePoint::max()) {
@@ -153,11 +145,10 @@
   } else if (const auto* saved = std::get_if<Saved>(&event)) {
     raft_.finish_save(saved->serial, saved->is_saved, now);
   } else if (const auto* listed = std::get_if<Listed>(&event)) {
-    if (is_observing_)
-      registry_.observe(listed->entries, now);
+    discovery_service_.handle_listing(listed->entries, now);
   } else if (const auto* renewed = std::get_if<Renewed>(&event)) {
-    if (is_observing_ && !renewed->id.empty())
-      registry_.renew(renewed->id, now);
+    if (!renewed->id.empty())
+      discovery_service_.handle_probe_reply(renewed->id, now);
   } else if (auto* backend = std::get_if<BackendCall>(&event)) {
     handle_backend_call(*backend, now);
   } else if (const auto* examined = std::get_if<Examined>(&event)) {
@@ -169,6 +160,17 @@
   }
 }
 
+void ControlLoop::handle_backend_call(const BackendCall& call, TimePoint now) {
+  std::optional<std::string> reply = discovery_service_.handle_backend_call(call.entry, now);
+  const bool is_done = reply.has_value();
+  operator_api_->tell({call.token, is_done, std::move(reply).value_or(std::string())});
+}
+
+void ControlLoop::update_metrics() const {
+  metrics().set(Metric::brokers, static_cast<std::int64_t>(broker_directory_.size()));
+  metrics().set(Metric::leaderships, raft_.is_leader());
+}
+
 void ControlLoop::handle_frame(const ReceivedFrame& frame, TimePoint now) {
   ByteReader reader(frame.bytes);
   FrameHead head;
@@ -209,7 +211,7 @@
       case FrameKind::endpoints: {
         EndpointList endpoints;
         if ((is_good = decode(reader, endpoints)))
-          handle_endpoints(head, endpoints, now);
+          discovery_service_.handle_endpoints(head, endpoints, now);
         break;
       }
       case FrameKind::ring_call: {
@@ -233,8 +235,7 @@
       case FrameKind::renewed: {
         RenewedIds renewed;
         if ((is_good = decode(reader, renewed)))
-          for (const RenewedIds::Item& item : renewed.items)
-            registry_.renew_signed(item, now);
+          discovery_service_.handle_renewals(renewed, now);
         break;
       }
       case FrameKind::trace:
@@ -360,11 +361,7 @@
   }
   configuration_ = std::move(snapshot);
   packed_ = pack(noted_->body);
-  std::set<std::string> services;
-  for (const Service& service : configuration_->services)
-    services.insert(service.name);
-  registry_.name_services(std::move(services));
-  ordered_revision_ = ~0ull;
+  discovery_service_.handle_configuration(*configuration_);
   notify_brokers(now);
   if (broker_directory_.size() > 0)
     steps_.note(noted_->version, "sent", now);
--- a/src/registry/control_loop.h
+++ b/src/registry/control_loop.h
@@ -2,9 +2,9 @@
 // The agree thread of a registry: agreement, the registry of backends, and the brokers that follow.
 #include <atomic>
 #include <map>
+#include <optional>
 #include <thread>
 
-#include "coordination/discovery/service_registry.h"
 #include "coordination/leases/retry_quota.h"
 #include "coordination/raft/pending_calls.h"
 #include "coordination/raft/raft_node.h"
@@ -15,11 +15,14 @@
 #include "registry/broker_directory.h"
 #include "registry/command_dispatcher.h"
 #include "registry/control_context.h"
+#include "registry/discovery_service.h"
 #include "registry/edge_latency_service.h"
+#include "registry/endpoint_publisher.h"
 #include "registry/events.h"
 #include "registry/failover_service.h"
 #include "registry/operator_api.h"
 #include "registry/peer_links.h"
+#include "registry/reply_sender.h"
 #include "registry/ring_service.h"
 #include "registry/storage_thread.h"
 #include "state/configuration.h"
@@ -28,11 +31,10 @@
 
 namespace saddlewing {
 
-inline constexpr Duration whole_silence{2500};  // a peer unheard for longer is not named to anyone
-
 class ControlLoop final : private EdgeEnvironment,
                           private RingEnvironment,
-                          private FailoverEnvironment {
+                          private FailoverEnvironment,
+                          private DiscoveryEnvironment {
  public:
   ControlLoop(const NodeSettings& settings, PersistentState persistent, IncarnationId incarnation);
   Error open();
@@ -55,30 +57,17 @@
   }
 
  private:
-  struct Peer {
-    IncarnationId incarnation;
-    std::uint64_t sent_revision = 0,
-                  received_revision =
-                      0;      // received_revision: of its roster, as far as it came here
-    bool is_missing = false;  // something of its roster did not come
-    std::string zone;
-    TimePoint full_sync_due{}, observed{}, sent{}, last_contact{};
-  };
-
   void run();
   void handle_event(ControlEvent& event, TimePoint now);
   void handle_frame(const ReceivedFrame& frame, TimePoint now);
   void handle_subscribe(const std::string& routing_id, const FrameHead& head,
                         const SubscribeRequest& request, TimePoint now);
-  void handle_endpoints(const FrameHead& head, const EndpointList& endpoints, TimePoint now);
   void handle_trace(const std::string& routing_id, TimePoint now);
   void send_status(const std::string& routing_id, TimePoint now);
   void route_calls(TimePoint now);
   void finish_call(std::uint64_t token, bool is_done, std::string body);
   void handle_output(TimePoint now);
   void on_commit(TimePoint now);
-  void update_registry(TimePoint now);
-  void send_endpoint_changes(TimePoint now);
   void maintain_brokers(TimePoint now);
   void advance_rollout(TimePoint now);
   void add_retry_quota(const ConnectedBroker& to, ControlHeartbeat& heartbeat, TimePoint now);
@@ -86,8 +75,8 @@
   void add_broker_state(const ConnectedBroker& to, ControlHeartbeat& heartbeat);
   void add_pooler_state(ConnectedBroker& to, ControlHeartbeat& heartbeat, TimePoint now);
   void send_heartbeat(ConnectedBroker& to, TimePoint now, ControlHeartbeat heartbeat = {});
-  void handle_backend_call(BackendCall& call, TimePoint now);
-  void send_renewals(TimePoint now);
+  void handle_backend_call(const BackendCall& call, TimePoint now);
+  void update_metrics() const;
   void handle_ring_call(const std::string& routing_id, const RingCall& call, TimePoint now);
   RingAnswer answer_operator(const RingCall& call, TimePoint now);
   const ConfigurationSnapshot& configuration() const override {
@@ -98,6 +87,7 @@
   }
   void send_ring(std::uint64_t revision, const std::string& encoded_ring, TimePoint now) override;
   bool dispatch(DispatchedCommand command) override;
+  void order_monitor(WatchOrderSnapshot order) override;
   std::vector<Version> held_edge_views() const override {
     return broker_directory_.held_edge_views();
   }
@@ -113,6 +103,7 @@
   const std::string address_;
   LinkContext context_;
   FrameServer frame_server_;
+  FrameServerReplySender reply_sender_{frame_server_};
   PeerLinks links_;
   Waker waker_;
   BoundedQueue<ControlEvent> events_;
@@ -120,7 +111,7 @@
   std::atomic<bool> should_leave_ = false, has_left_ = false;
   RaftNode raft_;
   RaftControlContext raft_context_;
-  ServiceRegistry registry_;
+  DiscoveryService discovery_service_;
   OperatorApi* operator_api_ = nullptr;
   BackendMonitor* backend_monitor_ = nullptr;
   StorageThread* storage_ = nullptr;
@@ -130,25 +121,17 @@
   BrokerDirectory broker_directory_;
   BrokerCountMemory broker_count_memory_;
   TimePoint broker_check_due_{};
-  std::uint64_t notified_revision_ = ~0ull;  // of the registry when every broker fed here had it
-  struct Delta {
-    std::uint64_t base = 0, revision = 0;
-    std::string bytes;
-  };
-  Delta delta_;  // the last one sent: most brokers need the same
+  EndpointPublisher endpoint_publisher_;
   EdgeLatencyService edge_latency_service_;
-  TimePoint renewed_due_{};
 
-  std::map<std::string, Peer> peers_;  // by inner address
-  EntrySnapshot noted_;                // the committed entry that was made known
+  EntrySnapshot noted_;  // the committed entry that was made known
   ConfigurationSnapshot configuration_;
   std::string packed_;  // its body, as brokers get it
   VersionRollout rollout_;
   RetryQuotaAllocator grants_;
   PendingCalls calls_;
-  bool is_observing_ = false, was_leader_ = false, is_leaving_ = false;
-  std::uint64_t ordered_revision_ = ~0ull;
-  TimePoint registry_due_{}, foreign_logged_{};
+  bool was_leader_ = false, is_leaving_ = false;
+  TimePoint foreign_logged_{};
   std::uint64_t foreign_ = 0;
   VersionTrace steps_;
   std::thread thread_;
--- a/src/registry/control_ring.cpp
+++ b/src/registry/control_ring.cpp
@@ -29,4 +29,8 @@
   return dispatcher_->order(std::move(command));
 }
 
+void ControlLoop::order_monitor(WatchOrderSnapshot order) {
+  backend_monitor_->order(std::move(order));
+}
+
 }  // namespace saddlewing
--- a/src/registry/control_status.cpp
+++ b/src/registry/control_status.cpp
@@ -1,4 +1,4 @@
-// The agree thread's answer to an operator who asks how the core is.
+// Answers to operators who ask for the state of the cluster, or for a version's recent steps.
 #include "registry/control_loop.h"
 
 namespace saddlewing {
@@ -9,4 +9,18 @@
   frame_server_.send(routing_id, encode(head(), status));
 }
 
+void ControlLoop::handle_trace(const std::string& routing_id, TimePoint now) {
+  Traced traced;
+  traced.node = settings_.node_name;
+  traced.role = "registry";
+  if (raft_.committed())
+    traced.held = raft_.committed()->version;
+  traced.is_leader = raft_.is_leader();
+  traced.steps = steps_.tell(now);
+  traced.registries = raft_.known_addresses();
+  traced.registries.push_back(address_);
+  traced.brokers = broker_directory_.addresses();
+  frame_server_.send(routing_id, encode(head(), traced));
+}
+
 }  // namespace saddlewing
--- a/src/registry/peer_links.h
+++ b/src/registry/peer_links.h
@@ -21,6 +21,8 @@
   // the frame is dropped if the registry is not connected, or if the address is the own one or does
   // not parse.
   virtual void send_to(const std::string& address, const std::string& bytes) = 0;
+  // A connection to this inner address is kept open; whether it stands at present is not told.
+  virtual bool is_connected_to(const std::string& address) const = 0;
 };
 
 class PeerLinks final : public PeerSender {
@@ -32,7 +34,7 @@
   void connect(const std::string& address);
   // Closes each connection for whose address `is_needed` is false.
   void retain(const std::function<bool(const std::string&)>& is_needed);
-  bool is_connected_to(const std::string& address) const {
+  bool is_connected_to(const std::string& address) const override {
     return clients_.contains(address);
   }
   // Adds the handle of each connection, as `wait_links` takes them.
--- a/tests/registry/control_context_fakes.h
+++ b/tests/registry/control_context_fakes.h
@@ -1,6 +1,7 @@
 #pragma once
 // Stand-ins for what the parts of the control loop get from it: a Raft node whose role is set by
 // hand, and peers that record what is sent to them.
+#include <set>
 #include <string>
 #include <utility>
 #include <vector>
@@ -32,6 +33,9 @@
   bool is_leased(TimePoint now) const override {
     return now < lease_end;
   }
+  bool is_confirmed(TimePoint) const override {
+    return has_quorum;
+  }
   TimePoint lease_until() const override {
     return lease_end;
   }
@@ -69,7 +73,7 @@
   }
 
   Term current_term{1};
-  bool has_leadership = false, has_shutdown_begun = false;
+  bool has_leadership = false, has_shutdown_begun = false, has_quorum = true;
   TimePoint lease_end{};
   std::string leader;
   EntrySnapshot entry;
@@ -89,7 +93,11 @@
     decode_head(reader, head);
     sent.push_back({address, head.kind, bytes});
   }
+  bool is_connected_to(const std::string& address) const override {
+    return !disconnected.contains(address);
+  }
   std::vector<Sent> sent;
+  std::set<std::string> disconnected;
 };
 
 // The body of a frame that a part sent; fails the test's expectation by a default value if damaged.
