--- a/src/registry/control_brokers.cpp
+++ b/src/registry/control_brokers.cpp
@@ -28,9 +28,9 @@
     edge_latency_service_.record_counts(request.region, request.edge_counts);
   add_retry_quota(broker, heartbeat, now);
   send_heartbeat(broker, now, std::move(heartbeat));
-  if (request.wants_body && configuration_ && configuration_->version > request.version)
-    frame_server_.send(routing_id,
-                       encode(head(), ConfigurationPayload{configuration_->version, packed_}));
+  if (request.wants_body)
+    if (const auto payload = configuration_service_.payload_after(request.version))
+      frame_server_.send(routing_id, encode(head(), *payload));
   endpoint_publisher_.send_empty_list(broker, now);
 }
 
@@ -63,7 +63,7 @@
   heartbeat.region = settings_.region;
   if (raft_.committed())
     heartbeat.version = raft_.committed()->version;
-  heartbeat.in_force = rollout_.in_force();
+  heartbeat.in_force = configuration_service_.in_force();
   heartbeat.is_confirmed = raft_.is_confirmed(now);
   heartbeat.is_filled = discovery_service_.registry().is_filled();
   heartbeat.brokers = broker_count_memory_.estimate(broker_directory_.size(), now);
@@ -101,17 +101,6 @@
   broker_count_memory_.tick(broker_directory_.size(), now);
 }
 
-void ControlLoop::advance_rollout(TimePoint now) {
-  if (!rollout_.is_pending() || (raft_.is_leader() && !raft_.is_leased(now)))
-    return;
-  const VersionRollout::Turn turn = rollout_.advance(broker_directory_.held_versions(), now);
-  if (turn == VersionRollout::Turn::none)
-    return;
-  steps_.note(rollout_.in_force(),
-              turn == VersionRollout::Turn::held_by_all ? "held by all" : "waited enough", now);
-  notify_brokers(now);
-}
-
 void ControlLoop::notify_brokers(TimePoint now) {
   for (auto& [address, broker] : broker_directory_.brokers())
     send_heartbeat(broker, now);
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -5,15 +5,12 @@
 #include <algorithm>
 #include <utility>
 
-#include "state/compression.h"
 #include "state/metrics.h"
 
 namespace saddlewing {
 namespace {
 
-constexpr Duration call_wait{850};  // a little less than the desk waits
 constexpr Duration max_wait{100};
-constexpr std::size_t max_steps = 128;
 
 std::vector<std::string> inner_addresses(const std::vector<Address>& contacts, int port) {
   std::vector<std::string> addresses;
@@ -53,13 +50,11 @@
       ring_service_(settings_, raft_context_, discovery_service_.registry(), *this),
       broker_directory_(incarnation),
       broker_count_memory_(raft_context_, Clock::now()),
+      configuration_service_(settings_, raft_context_, links_, *this),
       endpoint_publisher_(raft_context_, discovery_service_.registry(), broker_directory_,
                           reply_sender_),
       edge_latency_service_(settings_, raft_context_, links_, *this),
-      rollout_(settings.rollout_wait),
-      grants_(settings.extra_tries, settings.follow * 5, settings.retry_span),
-      calls_(incarnation),
-      steps_(max_steps) {
+      grants_(settings.extra_tries, settings.follow * 5, settings.retry_span) {
 }
 
 Error ControlLoop::open() {
@@ -107,9 +102,10 @@
     const TimePoint now = Clock::now();
     links_.discard_received();
     raft_.tick(now);
-    route_calls(now);
+    configuration_service_.route_calls(now);
     handle_output(now);
-    on_commit(now);
+    log_raft_changes();
+    configuration_service_.take_committed(now);
     if (discovery_service_.tick(now))
       update_metrics();
     discovery_service_.send_renewals(now);
@@ -120,7 +116,7 @@
     dispatcher_->set_lease(raft_.term(), raft_.lease_until());
     maintain_brokers(now);
     endpoint_publisher_.tick(now);
-    advance_rollout(now);
+    configuration_service_.advance_rollout(now);
     handle_output(now);
     if (should_leave_ && leave_by == TimePoint::max()) {
       if (!std::exchange(is_leaving_, true))
@@ -128,10 +124,11 @@
       raft_.leave(now);
       handle_output(now);
       if (raft_.has_left())
-        leave_by = now + call_wait;
+        leave_by = now + operator_call_timeout;
     }
     // Calls at work are answered first, by whoever leads now.
-    if (leave_by != TimePoint::max() && calls_.is_empty() && now > leave_by - call_wait + 200ms)
+    if (leave_by != TimePoint::max() && !configuration_service_.has_waiting_calls() &&
+        now > leave_by - operator_call_timeout + 200ms)
       break;
   }
   has_left_ = true;
@@ -139,9 +136,7 @@
 
 void ControlLoop::handle_event(ControlEvent& event, TimePoint now) {
   if (auto* call = std::get_if<OperatorCall>(&event)) {
-    if (!call->is_read)
-      steps_.note(call->version, "taken", now);
-    calls_.add(call->is_read, call->version, std::move(call->body), call->token, now + call_wait);
+    configuration_service_.handle_operator_call(std::move(*call), now);
   } else if (const auto* saved = std::get_if<Saved>(&event)) {
     raft_.finish_save(saved->serial, saved->is_saved, now);
   } else if (const auto* listed = std::get_if<Listed>(&event)) {
@@ -185,21 +180,14 @@
       }
       case FrameKind::forward: {
         ForwardedCall forward;
-        if (!(is_good = decode(reader, forward)))
-          break;
-        if (!forward.is_read)
-          steps_.note(forward.version, "passed on", now);
-        calls_.add(std::move(forward), head.from, head.incarnation, now + call_wait);
+        if ((is_good = decode(reader, forward)))
+          configuration_service_.handle_forwarded_call(head, std::move(forward), now);
         break;
       }
       case FrameKind::forwarded: {
         ForwardedReply forwarded;
-        if (!(is_good = decode(reader, forwarded)))
-          break;
-        // Not done: it leads no more, and whoever does is asked next.
-        if (const std::uint64_t token = calls_.take(forwarded, head.from);
-            token && forwarded.is_done)
-          finish_call(token, true, std::move(forwarded.body));
+        if ((is_good = decode(reader, forwarded)))
+          configuration_service_.handle_forwarded_reply(head, std::move(forwarded));
         break;
       }
       case FrameKind::follow: {
@@ -257,58 +245,6 @@
   LOG(WARNING) << "agree: frame dropped, foreign or damaged; " << foreign_ << " so far";
 }
 
-// Gives each waiting call to the leader of the moment.
-void ControlLoop::route_calls(TimePoint now) {
-  std::vector<std::uint64_t> ended, settled;
-  for (auto& [token, call] : calls_.calls()) {
-    const EntrySnapshot& committed = raft_.committed();
-    const std::string& leader = raft_.leader_address();
-    if (!call.is_read && committed && committed->version >= call.version) {
-      settled.push_back(token);
-      continue;
-    }
-    if (now > call.deadline) {
-      ended.push_back(token);
-      continue;
-    }
-    if (!call.sent_to.empty() && call.sent_to != leader && !leader.empty())
-      call.sent_to.clear();
-    if (!call.sent_to.empty())
-      continue;
-    if (raft_.is_leader()) {
-      call.sent_to = address_;
-      if (call.is_read)
-        raft_.read_index(token, now);
-      else
-        raft_.propose(call.version, call.body, token, now);
-    } else if (!leader.empty() && call.origin.empty()) {
-      const ForwardedCall forward = calls_.send(token, leader, raft_.term());
-      links_.send_to(leader, encode(head(), forward));
-    } else if (!call.origin.empty()) {
-      ended.push_back(token);  // passed on to one that does not lead
-    }
-  }
-  for (const std::uint64_t token : settled)
-    finish_call(token, true, {});
-  for (const std::uint64_t token : ended)
-    finish_call(token, false, {});
-}
-
-// A change that is done is told what became of it by what is committed here; `body`: what another
-// registry told, or read.
-void ControlLoop::finish_call(std::uint64_t token, bool is_done, std::string body) {
-  const auto call = calls_.remove(token);
-  if (!call)
-    return;
-  if (is_done && !call->is_read && body.empty() && raft_.committed())
-    body = acknowledge(*raft_.committed(), call->version, call->digest);
-  if (call->origin.empty())
-    operator_api_->tell({call->origin_token, is_done, std::move(body)});
-  else
-    links_.send_to(call->origin, encode(head(), PendingCalls::answer(*call, is_done, raft_.term(),
-                                                                     std::move(body))));
-}
-
 void ControlLoop::handle_output(TimePoint now) {
   RaftNode::Output output = raft_.take(now);
   if (output.save && !storage_->save(std::move(*output.save)))
@@ -320,51 +256,28 @@
       failover_service_.finish_proposal();
     if (result.token == ring_proposal_token)
       ring_service_.finish_proposal();
-    PendingCalls::Call* call = calls_.find(result.token);
-    if (!call)
-      continue;
-    if (result.verdict == RaftNode::Verdict::done)
-      finish_call(result.token, true, result.state ? result.state->body : "");
-    else if (call->sent_to == address_)
-      call->sent_to.clear();
+    configuration_service_.handle_result(result);
   }
 }
 
-void ControlLoop::on_commit(TimePoint now) {
+void ControlLoop::log_raft_changes() {
   if (raft_.is_leader() != was_leader_) {
     was_leader_ = raft_.is_leader();
     LOG(INFO) << "agree: " << (was_leader_ ? "leads" : "follows") << " in term "
               << raft_.term().value;
   }
-  if (!raft_.committed() || raft_.committed() == noted_)
+  const EntrySnapshot& committed = raft_.committed();
+  if (!committed || committed == logged_entry_)
     return;
-  const bool is_new_version = !noted_ || noted_->version != raft_.committed()->version;
-  if (!noted_ || noted_->members != raft_.committed()->members ||
-      noted_->outgoing != raft_.committed()->outgoing) {
+  if (!logged_entry_ || logged_entry_->members != committed->members ||
+      logged_entry_->outgoing != committed->outgoing) {
     std::string members;
-    for (const Member& member : raft_.committed()->members)
+    for (const Member& member : committed->members)
       members += " " + member.address;
     LOG(INFO) << "agree: members" << members
-              << (raft_.committed()->outgoing.empty() ? "" : ", joint with the former ones");
-  }
-  noted_ = raft_.committed();
-  if (!is_new_version || noted_->version.value == 0)
-    return;
-  steps_.note(noted_->version, "committed", now);
-  rollout_.commit(noted_->version, now);
-  metrics().set(Metric::version, noted_->version.value);
-  LOG(INFO) << "agree: edition " << noted_->version.value << " committed";
-  ConfigurationSnapshot snapshot;
-  if (Error found = read_configuration(noted_->body, snapshot)) {
-    LOG(ERROR) << "agree: committed configuration unreadable: " << found.text();
-    return;
+              << (committed->outgoing.empty() ? "" : ", joint with the former ones");
   }
-  configuration_ = std::move(snapshot);
-  packed_ = pack(noted_->body);
-  discovery_service_.handle_configuration(*configuration_);
-  notify_brokers(now);
-  if (broker_directory_.size() > 0)
-    steps_.note(noted_->version, "sent", now);
+  logged_entry_ = committed;
 }
 
 }  // namespace saddlewing
--- a/src/registry/control_loop.h
+++ b/src/registry/control_loop.h
@@ -6,14 +6,12 @@
 #include <thread>
 
 #include "coordination/leases/retry_quota.h"
-#include "coordination/raft/pending_calls.h"
 #include "coordination/raft/raft_node.h"
-#include "coordination/rollout/version_rollout.h"
-#include "protocol/version_trace.h"
 #include "registry/backend_monitor.h"
 #include "registry/broker_count_memory.h"
 #include "registry/broker_directory.h"
 #include "registry/command_dispatcher.h"
+#include "registry/configuration_service.h"
 #include "registry/control_context.h"
 #include "registry/discovery_service.h"
 #include "registry/edge_latency_service.h"
@@ -34,7 +32,8 @@
 class ControlLoop final : private EdgeEnvironment,
                           private RingEnvironment,
                           private FailoverEnvironment,
-                          private DiscoveryEnvironment {
+                          private DiscoveryEnvironment,
+                          private ConfigurationEnvironment {
  public:
   ControlLoop(const NodeSettings& settings, PersistentState persistent, IncarnationId incarnation);
   Error open();
@@ -64,12 +63,9 @@
                         const SubscribeRequest& request, TimePoint now);
   void handle_trace(const std::string& routing_id, TimePoint now);
   void send_status(const std::string& routing_id, TimePoint now);
-  void route_calls(TimePoint now);
-  void finish_call(std::uint64_t token, bool is_done, std::string body);
   void handle_output(TimePoint now);
-  void on_commit(TimePoint now);
+  void log_raft_changes();
   void maintain_brokers(TimePoint now);
-  void advance_rollout(TimePoint now);
   void add_retry_quota(const ConnectedBroker& to, ControlHeartbeat& heartbeat, TimePoint now);
   void add_own_state(ControlHeartbeat& heartbeat, TimePoint now) const;
   void add_broker_state(const ConnectedBroker& to, ControlHeartbeat& heartbeat);
@@ -80,13 +76,27 @@
   void handle_ring_call(const std::string& routing_id, const RingCall& call, TimePoint now);
   RingAnswer answer_operator(const RingCall& call, TimePoint now);
   const ConfigurationSnapshot& configuration() const override {
-    return configuration_;
+    return configuration_service_.configuration();
   }
   std::vector<std::string> broker_addresses() const override {
     return broker_directory_.broker_addresses();
   }
   void send_ring(std::uint64_t revision, const std::string& encoded_ring, TimePoint now) override;
   bool dispatch(DispatchedCommand command) override;
+  void propose_configuration(Version version, const std::string& body, std::uint64_t token,
+                             TimePoint now) override {
+    raft_.propose(version, body, token, now);
+  }
+  void read_committed(std::uint64_t token, TimePoint now) override {
+    raft_.read_index(token, now);
+  }
+  void reply_to_operator(OperatorReply reply) override;
+  void apply_configuration(const Configuration& configuration) override {
+    discovery_service_.handle_configuration(configuration);
+  }
+  std::vector<Version> held_versions() const override {
+    return broker_directory_.held_versions();
+  }
   void order_monitor(WatchOrderSnapshot order) override;
   std::vector<Version> held_edge_views() const override {
     return broker_directory_.held_edge_views();
@@ -121,19 +131,15 @@
   BrokerDirectory broker_directory_;
   BrokerCountMemory broker_count_memory_;
   TimePoint broker_check_due_{};
+  ConfigurationService configuration_service_;
   EndpointPublisher endpoint_publisher_;
   EdgeLatencyService edge_latency_service_;
 
-  EntrySnapshot noted_;  // the committed entry that was made known
-  ConfigurationSnapshot configuration_;
-  std::string packed_;  // its body, as brokers get it
-  VersionRollout rollout_;
+  EntrySnapshot logged_entry_;  // the committed entry whose members were logged last
   RetryQuotaAllocator grants_;
-  PendingCalls calls_;
   bool was_leader_ = false, is_leaving_ = false;
   TimePoint foreign_logged_{};
   std::uint64_t foreign_ = 0;
-  VersionTrace steps_;
   std::thread thread_;
 };
 
--- a/src/registry/control_ring.cpp
+++ b/src/registry/control_ring.cpp
@@ -29,6 +29,10 @@
   return dispatcher_->order(std::move(command));
 }
 
+void ControlLoop::reply_to_operator(OperatorReply reply) {
+  operator_api_->tell(std::move(reply));
+}
+
 void ControlLoop::order_monitor(WatchOrderSnapshot order) {
   backend_monitor_->order(std::move(order));
 }
--- a/src/registry/control_status.cpp
+++ b/src/registry/control_status.cpp
@@ -16,7 +16,7 @@
   if (raft_.committed())
     traced.held = raft_.committed()->version;
   traced.is_leader = raft_.is_leader();
-  traced.steps = steps_.tell(now);
+  traced.steps = configuration_service_.trace(now);
   traced.registries = raft_.known_addresses();
   traced.registries.push_back(address_);
   traced.brokers = broker_directory_.addresses();
