--- a/src/registry/control_brokers.cpp
+++ b/src/registry/control_brokers.cpp
@@ -39,9 +39,9 @@
   if (!raft_.is_leased(now))
     return;
   heartbeat.grant = static_cast<std::uint64_t>(
-      grants_.grant(to.address, to.incarnation, broker_directory_.size(), now) *
+      retry_quotas_.grant(to.address, to.incarnation, broker_directory_.size(), now) *
       retry_quota_resolution);
-  heartbeat.grant_valid = static_cast<std::uint64_t>(grants_.valid().count());
+  heartbeat.grant_valid = static_cast<std::uint64_t>(retry_quotas_.valid().count());
 }
 
 // `heartbeat`: what goes to this receiver alone; the rest is filled in.
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -10,7 +10,13 @@
 namespace saddlewing {
 namespace {
 
-constexpr Duration max_wait{100};
+constexpr Duration max_wait{100};        // for input, in one round
+constexpr Duration min_leave_wait{200};  // between having left and the end, without waiting calls
+constexpr Duration foreign_log_interval{1000};
+constexpr std::size_t max_frames_per_round = 512;
+constexpr std::size_t max_events = 4096;  // that wait
+constexpr std::size_t max_contact_lists = 4;
+constexpr int quota_follows = 5;  // a retry quota lasts so many intervals between subscriptions
 
 std::vector<std::string> inner_addresses(const std::vector<Address>& contacts, int port) {
   std::vector<std::string> addresses;
@@ -32,16 +38,25 @@
   return options;
 }
 
+// Decodes the rest of a frame and hands it to `handle`; false if it is damaged.
+template <class Body, class Handle>
+bool decode_and_handle(ByteReader& reader, Handle&& handle) {
+  Body body;
+  if (!decode(reader, body))
+    return false;
+  handle(std::move(body));
+  return true;
+}
+
 }  // namespace
 
 ControlLoop::ControlLoop(const NodeSettings& settings, PersistentState persistent,
                          IncarnationId incarnation)
     : settings_(settings),
-      incarnation_(incarnation),
       address_(Address{settings.ip_address, settings.inner_port}.text()),
-      links_(context_, address_),
-      events_(4096, [this] { waker_.wake(); }),
-      contacts_(4, [this] { waker_.wake(); }),
+      links_(link_context_, address_),
+      events_(max_events, [this] { waker_.wake(); }),
+      contacts_(max_contact_lists, [this] { waker_.wake(); }),
       raft_(std::move(persistent), raft_options(settings, incarnation, address_),
             inner_addresses(settings.contacts, settings.inner_port), Clock::now()),
       raft_context_(raft_, incarnation, address_, should_leave_),
@@ -54,11 +69,11 @@
       endpoint_publisher_(raft_context_, discovery_service_.registry(), broker_directory_,
                           reply_sender_),
       edge_latency_service_(settings_, raft_context_, links_, *this),
-      grants_(settings.extra_tries, settings.follow * 5, settings.retry_span) {
+      retry_quotas_(settings.extra_tries, settings.follow * quota_follows, settings.retry_span) {
 }
 
 Error ControlLoop::open() {
-  return frame_server_.open(context_, Address{settings_.ip_address, settings_.inner_port});
+  return frame_server_.open(link_context_, Address{settings_.ip_address, settings_.inner_port});
 }
 
 void ControlLoop::start(OperatorApi& operator_api, BackendMonitor& monitor, StorageThread& storage,
@@ -75,65 +90,86 @@
 }
 
 void ControlLoop::run() {
-  TimePoint leave_by = TimePoint::max();
-  std::vector<void*> handles;
-  while (Clock::now() < leave_by) {
-    const auto addresses = raft_.known_addresses();
-    for (const std::string& address : addresses)
-      links_.connect(address);
-    links_.retain([&](const std::string& address) {
-      return std::find(addresses.begin(), addresses.end(), address) != addresses.end() ||
-             discovery_service_.knows_peer(address);
-    });
-    handles.assign({frame_server_.handle()});
-    links_.append_handles(handles);
-    const Duration wait =
-        std::clamp(std::chrono::ceil<Duration>(
-                       std::min(raft_.next_due(), discovery_service_.next_due()) - Clock::now()),
-                   Duration(0), max_wait);
-    wait_links(handles, waker_, wait);
-    for (ControlEvent& event : events_.take())
-      handle_event(event, Clock::now());
-    for (auto& contacts : contacts_.take())
-      raft_.set_contacts(std::move(contacts));
-    take_each(
-        512, [&] { return frame_server_.receive(); }, Clock::now,
-        [&](const ReceivedFrame& frame, TimePoint came) { handle_frame(frame, came); });
+  while (Clock::now() < leave_by_) {
+    update_peer_links();
+    wait_for_input();
+    receive();
     const TimePoint now = Clock::now();
     links_.discard_received();
-    raft_.tick(now);
-    configuration_service_.route_calls(now);
-    handle_output(now);
-    log_raft_changes();
-    configuration_service_.take_committed(now);
-    if (discovery_service_.tick(now))
-      update_metrics();
-    discovery_service_.send_renewals(now);
-    failover_service_.tick(now);
-    ring_service_.tick(now);
-    edge_latency_service_.tick(now);
-    grants_.lead(raft_.is_leader() && raft_.is_confirmed(now), now);
-    dispatcher_->set_lease(raft_.term(), raft_.lease_until());
-    maintain_brokers(now);
-    endpoint_publisher_.tick(now);
-    configuration_service_.advance_rollout(now);
-    handle_output(now);
-    if (should_leave_ && leave_by == TimePoint::max()) {
-      if (!std::exchange(is_leaving_, true))
-        LOG(INFO) << "agree: leaving";
-      raft_.leave(now);
-      handle_output(now);
-      if (raft_.has_left())
-        leave_by = now + operator_call_timeout;
-    }
-    // Calls at work are answered first, by whoever leads now.
-    if (leave_by != TimePoint::max() && !configuration_service_.has_waiting_calls() &&
-        now > leave_by - operator_call_timeout + 200ms)
+    advance(now);
+    if (should_leave_ && leave_by_ == TimePoint::max())
+      leave_cluster(now);
+    if (may_stop(now))
       break;
   }
   has_left_ = true;
 }
 
+void ControlLoop::update_peer_links() {
+  const std::vector<std::string> addresses = raft_.known_addresses();
+  for (const std::string& address : addresses)
+    links_.connect(address);
+  links_.retain([&](const std::string& address) {
+    return std::find(addresses.begin(), addresses.end(), address) != addresses.end() ||
+           discovery_service_.knows_peer(address);
+  });
+}
+
+void ControlLoop::wait_for_input() {
+  handles_.assign({frame_server_.handle()});
+  links_.append_handles(handles_);
+  const TimePoint due = std::min(raft_.next_due(), discovery_service_.next_due());
+  const auto until_due = std::chrono::ceil<Duration>(due - Clock::now());
+  wait_links(handles_, waker_, std::clamp(until_due, Duration(0), max_wait));
+}
+
+void ControlLoop::receive() {
+  for (ControlEvent& event : events_.take())
+    handle_event(event, Clock::now());
+  for (auto& contacts : contacts_.take())
+    raft_.set_contacts(std::move(contacts));
+  take_each(
+      max_frames_per_round, [&] { return frame_server_.receive(); }, Clock::now,
+      [&](const ReceivedFrame& frame, TimePoint received_at) { handle_frame(frame, received_at); });
+}
+
+// One round. The order is part of the behaviour: what is committed is taken before anything is
+// decided by it, and what was proposed in this round leaves within it.
+void ControlLoop::advance(TimePoint now) {
+  raft_.tick(now);
+  configuration_service_.route_calls(now);
+  handle_output(now);
+  log_raft_changes();
+  configuration_service_.take_committed(now);
+  if (discovery_service_.tick(now))
+    update_metrics();
+  discovery_service_.send_renewals(now);
+  failover_service_.tick(now);
+  ring_service_.tick(now);
+  edge_latency_service_.tick(now);
+  retry_quotas_.lead(raft_.is_leader() && raft_.is_confirmed(now), now);
+  dispatcher_->set_lease(raft_.term(), raft_.lease_until());
+  maintain_brokers(now);
+  endpoint_publisher_.tick(now);
+  configuration_service_.advance_rollout(now);
+  handle_output(now);
+}
+
+void ControlLoop::leave_cluster(TimePoint now) {
+  if (!std::exchange(is_leaving_, true))
+    LOG(INFO) << "agree: leaving";
+  raft_.leave(now);
+  handle_output(now);
+  if (raft_.has_left())
+    leave_by_ = now + operator_call_timeout;
+}
+
+// Calls at work are answered first, by whoever leads now.
+bool ControlLoop::may_stop(TimePoint now) const {
+  return leave_by_ != TimePoint::max() && !configuration_service_.has_waiting_calls() &&
+         now > leave_by_ - operator_call_timeout + min_leave_wait;
+}
+
 void ControlLoop::handle_event(ControlEvent& event, TimePoint now) {
   if (auto* call = std::get_if<OperatorCall>(&event)) {
     configuration_service_.handle_operator_call(std::move(*call), now);
@@ -169,80 +205,77 @@
 void ControlLoop::handle_frame(const ReceivedFrame& frame, TimePoint now) {
   ByteReader reader(frame.bytes);
   FrameHead head;
-  bool is_good = decode_head(reader, head);
-  if (is_good) {
-    switch (head.kind) {
-      case FrameKind::raft: {
-        RaftMessage message;
-        if ((is_good = decode(reader, message) && message.address == head.from))
-          raft_.receive(message, now);
-        break;
-      }
-      case FrameKind::forward: {
-        ForwardedCall forward;
-        if ((is_good = decode(reader, forward)))
-          configuration_service_.handle_forwarded_call(head, std::move(forward), now);
-        break;
-      }
-      case FrameKind::forwarded: {
-        ForwardedReply forwarded;
-        if ((is_good = decode(reader, forwarded)))
-          configuration_service_.handle_forwarded_reply(head, std::move(forwarded));
-        break;
-      }
-      case FrameKind::follow: {
-        SubscribeRequest follow;
-        if ((is_good = decode(reader, follow)))
-          handle_subscribe(frame.routing_id, head, follow, now);
-        break;
-      }
-      case FrameKind::endpoints: {
-        EndpointList endpoints;
-        if ((is_good = decode(reader, endpoints)))
-          discovery_service_.handle_endpoints(head, endpoints, now);
-        break;
-      }
-      case FrameKind::ring_call: {
-        RingCall call;
-        if ((is_good = decode(reader, call)))
-          handle_ring_call(frame.routing_id, call, now);
-        break;
-      }
-      case FrameKind::edge_sums: {
-        EdgeSums sums;
-        if ((is_good = decode(reader, sums)))
-          edge_latency_service_.handle_sums(sums, now);
-        break;
-      }
-      case FrameKind::edge_view: {
-        EdgeViewFrame frame;
-        if ((is_good = decode(reader, frame)))
-          edge_latency_service_.handle_view(head, frame, now);
-        break;
-      }
-      case FrameKind::renewed: {
-        RenewedIds renewed;
-        if ((is_good = decode(reader, renewed)))
-          discovery_service_.handle_renewals(renewed, now);
-        break;
-      }
-      case FrameKind::trace:
-        handle_trace(frame.routing_id, now);
-        break;
-      case FrameKind::cluster_status_request:
-        send_status(frame.routing_id, now);
-        break;
-      default:
-        is_good = false;
-    }
-  }
-  if (is_good)
+  if (decode_head(reader, head) && (handle_peer_frame(head, reader, now) ||
+                                    handle_client_frame(frame.routing_id, head, reader, now)))
     return;
-  ++foreign_;
-  if (now - foreign_logged_ < 1s)
+  ++foreign_frames_;
+  if (now - foreign_logged_ < foreign_log_interval)
     return;
   foreign_logged_ = now;
-  LOG(WARNING) << "agree: frame dropped, foreign or damaged; " << foreign_ << " so far";
+  LOG(WARNING) << "agree: frame dropped, foreign or damaged; " << foreign_frames_ << " so far";
+}
+
+// Frames of other registries. False if it is none of them, or damaged.
+bool ControlLoop::handle_peer_frame(const FrameHead& head, ByteReader& reader, TimePoint now) {
+  switch (head.kind) {
+    case FrameKind::raft:
+      return handle_raft_frame(head, reader, now);
+    case FrameKind::forward:
+      return decode_and_handle<ForwardedCall>(reader, [&](ForwardedCall call) {
+        configuration_service_.handle_forwarded_call(head, std::move(call), now);
+      });
+    case FrameKind::forwarded:
+      return decode_and_handle<ForwardedReply>(reader, [&](ForwardedReply reply) {
+        configuration_service_.handle_forwarded_reply(head, std::move(reply));
+      });
+    case FrameKind::endpoints:
+      return decode_and_handle<EndpointList>(reader, [&](const EndpointList& endpoints) {
+        discovery_service_.handle_endpoints(head, endpoints, now);
+      });
+    case FrameKind::renewed:
+      return decode_and_handle<RenewedIds>(reader, [&](const RenewedIds& renewals) {
+        discovery_service_.handle_renewals(renewals, now);
+      });
+    case FrameKind::edge_sums:
+      return decode_and_handle<EdgeSums>(
+          reader, [&](const EdgeSums& sums) { edge_latency_service_.handle_sums(sums, now); });
+    case FrameKind::edge_view:
+      return decode_and_handle<EdgeViewFrame>(reader, [&](const EdgeViewFrame& view) {
+        edge_latency_service_.handle_view(head, view, now);
+      });
+    default:
+      return false;
+  }
+}
+
+bool ControlLoop::handle_raft_frame(const FrameHead& head, ByteReader& reader, TimePoint now) {
+  RaftMessage message;
+  if (!decode(reader, message) || message.address != head.from)
+    return false;
+  raft_.receive(message, now);
+  return true;
+}
+
+// Frames of brokers, poolers and operators' tools. False if it is none of them, or damaged.
+bool ControlLoop::handle_client_frame(const std::string& routing_id, const FrameHead& head,
+                                      ByteReader& reader, TimePoint now) {
+  switch (head.kind) {
+    case FrameKind::follow:
+      return decode_and_handle<SubscribeRequest>(reader, [&](const SubscribeRequest& request) {
+        handle_subscribe(routing_id, head, request, now);
+      });
+    case FrameKind::ring_call:
+      return decode_and_handle<RingCall>(
+          reader, [&](const RingCall& call) { handle_ring_call(routing_id, call, now); });
+    case FrameKind::trace:
+      handle_trace(routing_id, now);
+      return true;
+    case FrameKind::cluster_status_request:
+      send_status(routing_id, now);
+      return true;
+    default:
+      return false;
+  }
 }
 
 void ControlLoop::handle_output(TimePoint now) {
@@ -260,6 +293,18 @@
   }
 }
 
+bool ControlLoop::dispatch(DispatchedCommand command) {
+  return dispatcher_->order(std::move(command));
+}
+
+void ControlLoop::reply_to_operator(OperatorReply reply) {
+  operator_api_->tell(std::move(reply));
+}
+
+void ControlLoop::order_monitor(WatchOrderSnapshot order) {
+  backend_monitor_->order(std::move(order));
+}
+
 void ControlLoop::log_raft_changes() {
   if (raft_.is_leader() != was_leader_) {
     was_leader_ = raft_.is_leader();
--- a/src/registry/control_ring.cpp
+++ b/src/registry/control_operators.cpp
@@ -1,6 +1,4 @@
-// Operators' calls, by the frame protocol.
-#include <utility>
-
+// Calls of operators' tools: ring and edges, state of the cluster, recent steps of versions.
 #include "registry/control_loop.h"
 
 namespace saddlewing {
@@ -25,16 +23,24 @@
   frame_server_.send(routing_id, encode(head(), answer_operator(call, now)));
 }
 
-bool ControlLoop::dispatch(DispatchedCommand command) {
-  return dispatcher_->order(std::move(command));
-}
-
-void ControlLoop::reply_to_operator(OperatorReply reply) {
-  operator_api_->tell(std::move(reply));
+void ControlLoop::send_status(const std::string& routing_id, TimePoint now) {
+  ClusterStatus status = raft_.status(now);
+  status.node = settings_.node_name;
+  frame_server_.send(routing_id, encode(head(), status));
 }
 
-void ControlLoop::order_monitor(WatchOrderSnapshot order) {
-  backend_monitor_->order(std::move(order));
+void ControlLoop::handle_trace(const std::string& routing_id, TimePoint now) {
+  Traced traced;
+  traced.node = settings_.node_name;
+  traced.role = "registry";
+  if (raft_.committed())
+    traced.held = raft_.committed()->version;
+  traced.is_leader = raft_.is_leader();
+  traced.steps = configuration_service_.trace(now);
+  traced.registries = raft_.known_addresses();
+  traced.registries.push_back(address_);
+  traced.brokers = broker_directory_.addresses();
+  frame_server_.send(routing_id, encode(head(), traced));
 }
 
 }  // namespace saddlewing
