--- a/src/registry/backend_monitor.cpp
+++ b/src/registry/backend_monitor.cpp
@@ -36,8 +36,8 @@
 BackendMonitor::BackendMonitor(const NodeSettings& settings, BoundedQueue<ControlEvent>& events)
     : settings_(settings),
       events_(events),
-      orders_(64, [this] { poller_.wake(); }),
-      order_(std::make_shared<WatchOrder>()) {
+      target_updates_(64, [this] { poller_.wake(); }),
+      targets_(std::make_shared<MonitorTargets>()) {
   listing_.monitor = this;
 }
 
@@ -56,20 +56,20 @@
   while (!should_stop_) {
     poller_.poll(timers_.until_next(Clock::now(), Duration(1000)));
     const TimePoint now = Clock::now();
-    auto orders = orders_.take();
-    if (!orders.empty())
-      take_order(std::move(orders.back()), now);
+    auto updates = target_updates_.take();
+    if (!updates.empty())
+      apply_targets(std::move(updates.back()), now);
     timers_.run(now);
     closed_connections_.clear();
   }
 }
 
-void BackendMonitor::take_order(WatchOrderSnapshot order, TimePoint now) {
-  const bool was_observing = order_->is_observing;
-  order_ = std::move(order);
-  std::map<std::string, const WatchTarget*> wanted;
-  if (order_->is_observing)
-    for (const WatchTarget& target : order_->targets)
+void BackendMonitor::apply_targets(MonitorTargetsSnapshot targets, TimePoint now) {
+  const bool was_observing = targets_->is_observing;
+  targets_ = std::move(targets);
+  std::map<std::string, const MonitoredBackend*> wanted;
+  if (targets_->is_observing)
+    for (const MonitoredBackend& target : targets_->targets)
       wanted[target.id] = &target;
   for (auto position = probes_.begin(); position != probes_.end();) {
     if (wanted.contains(position->first)) {
@@ -86,7 +86,7 @@
     if (is_new)
       start_probe(position->second, now);  // a newcomer is probed at once
   }
-  if (order_->is_observing) {
+  if (targets_->is_observing) {
     if (!was_observing && !listing_.is_waiting)
       timers_.set(listing_, now);
   } else if (!listing_.is_waiting) {
@@ -158,7 +158,7 @@
     monitor->defer_delete(caller);
     return monitor->end_listing(monitor->settings_.listing, now);
   }
-  if (!monitor->order_->is_observing)
+  if (!monitor->targets_->is_observing)
     return;
   entries.clear();
   token.clear();
@@ -169,7 +169,7 @@
 void BackendMonitor::end_listing(Duration pause, TimePoint now) {
   listing_.is_waiting = false;
   listing_.pause = pause;
-  if (order_->is_observing)
+  if (targets_->is_observing)
     timers_.set(listing_, now + pause);
 }
 
@@ -227,7 +227,7 @@
     }
     if (!listing_.token.empty())
       return start_page(now);
-    events_.push(Listed{std::move(listing_.entries)});
+    events_.push(BackendListing{std::move(listing_.entries)});
     listing_.entries.clear();
     return end_listing(settings_.listing, now);
   }
@@ -238,7 +238,7 @@
   timers_.set(*probe, std::max(now, probe->next));
   const auto& response = caller.reader().response();
   if (response.getStatus() == 200 && response.get(field::server_id, "") == probe->target.id)
-    events_.push(Renewed{probe->target.id});
+    events_.push(ProbeReply{probe->target.id});
 }
 
 void BackendMonitor::on_failure(HttpClientConnection& caller, ErrorCode, TimePoint now) {
--- a/src/registry/backend_monitor.h
+++ b/src/registry/backend_monitor.h
@@ -17,8 +17,8 @@
   BackendMonitor(const NodeSettings& settings, BoundedQueue<ControlEvent>& events);
   void start();
   void stop();
-  void order(WatchOrderSnapshot order) {
-    orders_.replace(std::move(order));
+  void set_targets(MonitorTargetsSnapshot targets) {
+    target_updates_.replace(std::move(targets));
   }
 
   void on_response(HttpClientConnection& caller, TimePoint now) override;
@@ -29,7 +29,7 @@
   // One backend under probe. Invariant: `caller` is null while no connection is kept.
   struct Probe final : Scheduled {
     BackendMonitor* monitor = nullptr;
-    WatchTarget target;
+    MonitoredBackend target;
     std::unique_ptr<HttpClientConnection> caller;
     bool is_waiting = false;
     TimePoint next{};
@@ -47,7 +47,7 @@
     void on_due(TimePoint now) override;
   };
   void run();
-  void take_order(WatchOrderSnapshot order, TimePoint now);
+  void apply_targets(MonitorTargetsSnapshot targets, TimePoint now);
   void start_probe(Probe& probe, TimePoint now);
   void start_page(TimePoint now);
   void end_listing(Duration pause, TimePoint now);
@@ -59,8 +59,8 @@
   BoundedQueue<ControlEvent>& events_;
   Poller poller_;
   TimerQueue timers_;
-  BoundedQueue<WatchOrderSnapshot> orders_;
-  WatchOrderSnapshot order_;
+  BoundedQueue<MonitorTargetsSnapshot> target_updates_;
+  MonitorTargetsSnapshot targets_;
   std::map<std::string, Probe> probes_;
   std::unordered_map<const HttpClientConnection*, Probe*>
       by_caller_;  // invariant: every caller of a probe, until it is buried
--- a/src/registry/cluster_bootstrap.h
+++ b/src/registry/cluster_bootstrap.h
@@ -3,8 +3,8 @@
 #include <functional>
 #include <optional>
 
-#include "state/node_settings.h"
 #include "state/durable_store.h"
+#include "state/node_settings.h"
 
 namespace saddlewing {
 
--- a/src/registry/command_dispatcher.cpp
+++ b/src/registry/command_dispatcher.cpp
@@ -162,7 +162,7 @@
   timers_.drop(command);
   if (!command.order.node_order.empty()) {
     const bool is_reachable = status != 0 && command.caller;
-    NodeTold told{
+    NodeReply told{
         command.order.token,
         is_reachable ? read_node_answer(status, command.caller->reader().body()) : NodeAnswer{}};
     events_.push(std::move(told));
@@ -178,7 +178,7 @@
     events_.push(PromotionResult{command.order.token, 0});
     return;
   }
-  Examined examined{command.order.token, std::nullopt};
+  DatabaseReply examined{command.order.token, std::nullopt};
   DatabaseStatus read;
   if (status == 200 && read_status(command.row, read))
     examined.status = read;
--- a/src/registry/command_dispatcher.h
+++ b/src/registry/command_dispatcher.h
@@ -6,12 +6,12 @@
 #include <memory>
 #include <thread>
 
-#include "registry/events.h"
 #include "protocol/http_calls.h"
+#include "registry/events.h"
 #include "state/node_settings.h"
+#include "transport/database_transport.h"
 #include "transport/http_client_connection.h"
 #include "transport/timer_queue.h"
-#include "transport/database_transport.h"
 
 namespace saddlewing {
 
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -173,18 +173,18 @@
 void ControlLoop::handle_event(ControlEvent& event, TimePoint now) {
   if (auto* call = std::get_if<OperatorCall>(&event)) {
     configuration_service_.handle_operator_call(std::move(*call), now);
-  } else if (const auto* saved = std::get_if<Saved>(&event)) {
+  } else if (const auto* saved = std::get_if<StorageResult>(&event)) {
     raft_.finish_save(saved->serial, saved->is_saved, now);
-  } else if (const auto* listed = std::get_if<Listed>(&event)) {
+  } else if (const auto* listed = std::get_if<BackendListing>(&event)) {
     discovery_service_.handle_listing(listed->entries, now);
-  } else if (const auto* renewed = std::get_if<Renewed>(&event)) {
+  } else if (const auto* renewed = std::get_if<ProbeReply>(&event)) {
     if (!renewed->id.empty())
       discovery_service_.handle_probe_reply(renewed->id, now);
   } else if (auto* backend = std::get_if<BackendCall>(&event)) {
     handle_backend_call(*backend, now);
-  } else if (const auto* examined = std::get_if<Examined>(&event)) {
+  } else if (const auto* examined = std::get_if<DatabaseReply>(&event)) {
     failover_service_.finish_order(examined->token, examined->status, now);
-  } else if (const auto* told = std::get_if<NodeTold>(&event)) {
+  } else if (const auto* told = std::get_if<NodeReply>(&event)) {
     ring_service_.finish_order(told->token, told->answer);
   } else if (const auto* promoted = std::get_if<PromotionResult>(&event)) {
     failover_service_.finish_promotion(promoted->token, promoted->status, now);
@@ -194,7 +194,7 @@
 void ControlLoop::handle_backend_call(const BackendCall& call, TimePoint now) {
   std::optional<std::string> reply = discovery_service_.handle_backend_call(call.entry, now);
   const bool is_done = reply.has_value();
-  operator_api_->tell({call.token, is_done, std::move(reply).value_or(std::string())});
+  operator_api_->post_reply({call.token, is_done, std::move(reply).value_or(std::string())});
 }
 
 void ControlLoop::update_metrics() const {
@@ -298,11 +298,11 @@
 }
 
 void ControlLoop::reply_to_operator(OperatorReply reply) {
-  operator_api_->tell(std::move(reply));
+  operator_api_->post_reply(std::move(reply));
 }
 
-void ControlLoop::order_monitor(WatchOrderSnapshot order) {
-  backend_monitor_->order(std::move(order));
+void ControlLoop::set_monitor_targets(MonitorTargetsSnapshot targets) {
+  backend_monitor_->set_targets(std::move(targets));
 }
 
 void ControlLoop::log_raft_changes() {
--- a/src/registry/control_loop.h
+++ b/src/registry/control_loop.h
@@ -53,7 +53,7 @@
   // Transfers leadership, leaves the cluster and ends the thread. Returns at once; any thread.
   void leave() {
     should_leave_ = true;
-    events_.push(Renewed{});  // wakes the thread
+    events_.push(ProbeReply{});  // wakes the thread
   }
   // The thread has ended; any thread.
   bool has_left() const {
@@ -138,7 +138,7 @@
   void send_ring(std::uint64_t revision, const std::string& encoded_ring, TimePoint now) override;
   bool dispatch(DispatchedCommand command) override;
   void reply_to_operator(OperatorReply reply) override;
-  void order_monitor(WatchOrderSnapshot order) override;
+  void set_monitor_targets(MonitorTargetsSnapshot targets) override;
 
   const NodeSettings settings_;
   const std::string address_;  // inner address
--- a/src/registry/discovery_service.cpp
+++ b/src/registry/discovery_service.cpp
@@ -104,7 +104,7 @@
   update_metrics();
   expire(now);
   if (was_observing != is_observing_ || ordered_revision_ != registry_.revision())
-    order_monitor();
+    set_monitor_targets();
   replication_.send_changes(is_observing_, now);
   return true;
 }
@@ -143,9 +143,9 @@
                                              : "preserves itself, too few renewals");
 }
 
-void DiscoveryService::order_monitor() {
+void DiscoveryService::set_monitor_targets() {
   ordered_revision_ = registry_.revision();
-  auto order = std::make_shared<WatchOrder>();
+  auto order = std::make_shared<MonitorTargets>();
   // Backends that call themselves need not be listed or probed.
   order->is_observing = is_observing_ && !settings_.is_signing_up;
   const ConfigurationSnapshot& configuration = environment_.configuration();
@@ -157,7 +157,7 @@
       if (const auto found = health_paths.find(target.service); found != health_paths.end())
         order->targets.push_back({target.id, target.address, found->second, target.is_awaited});
   }
-  environment_.order_monitor(std::move(order));
+  environment_.set_monitor_targets(std::move(order));
 }
 
 }  // namespace saddlewing
--- a/src/registry/discovery_service.h
+++ b/src/registry/discovery_service.h
@@ -27,7 +27,7 @@
   // The committed configuration; null until there is one.
   virtual const ConfigurationSnapshot& configuration() const = 0;
   // Replaces what the backend monitor observes.
-  virtual void order_monitor(WatchOrderSnapshot order) = 0;
+  virtual void set_monitor_targets(MonitorTargetsSnapshot targets) = 0;
 };
 
 class DiscoveryService {
@@ -75,7 +75,7 @@
   void start_or_stop_observing(TimePoint now);
   void expire(TimePoint now);
   void update_metrics() const;
-  void order_monitor();
+  void set_monitor_targets();
 
   static constexpr std::uint64_t no_revision = std::numeric_limits<std::uint64_t>::max();
 
--- a/src/registry/events.h
+++ b/src/registry/events.h
@@ -6,9 +6,9 @@
 #include <variant>
 #include <vector>
 
-#include "coordination/raft/raft_node.h"
 #include "coordination/discovery/service_registry.h"
 #include "coordination/placement/shard_migration.h"
+#include "coordination/raft/raft_node.h"
 #include "protocol/database_protocol.h"
 #include "state/types.h"
 #include "transport/bounded_queue.h"
@@ -32,7 +32,7 @@
   std::uint64_t token = 0;
   Endpoint entry;  // phase gone: it leaves
 };
-struct Examined {  // envoy to agree: what came of an order to a database
+struct DatabaseReply {  // envoy to agree: what came of an order to a database
   std::uint64_t token = 0;
   std::optional<DatabaseStatus> status;
 };
@@ -40,7 +40,7 @@
   std::uint64_t token = 0;
   int status = 0;
 };
-struct NodeTold {  // envoy to agree: what a node of the ring said
+struct NodeReply {  // envoy to agree: what a node of the ring said
   std::uint64_t token = 0;
   NodeAnswer answer;
 };
@@ -53,27 +53,27 @@
   TimePoint until{};  // nothing of it leaves after that, unless the lease of that term was extended
 };
 
-struct Saved {  // disk to agree
+struct StorageResult {  // disk to agree
   std::uint64_t serial = 0;
   bool is_saved = false;
 };
-struct Listed {  // watch to agree: one complete listing
+struct BackendListing {  // watch to agree: one complete listing
   std::vector<Endpoint> entries;
 };
-struct Renewed {  // watch to agree: a probe was answered
+struct ProbeReply {  // watch to agree: a probe was answered
   std::string id;
 };
-using ControlEvent = std::variant<OperatorCall, Saved, Listed, Renewed, BackendCall, Examined,
-                                  PromotionResult, NodeTold>;
+using ControlEvent = std::variant<OperatorCall, StorageResult, BackendListing, ProbeReply,
+                                  BackendCall, DatabaseReply, PromotionResult, NodeReply>;
 
-struct WatchTarget {
+struct MonitoredBackend {
   std::string id, address, health_path;
   bool is_awaited = false;  // not UP yet, or no more: probed more often
 };
-struct WatchOrder {  // agree to watch: what to do from now on
+struct MonitorTargets {  // agree to watch: what to do from now on
   bool is_observing = false;
-  std::vector<WatchTarget> targets;
+  std::vector<MonitoredBackend> targets;
 };
-using WatchOrderSnapshot = std::shared_ptr<const WatchOrder>;
+using MonitorTargetsSnapshot = std::shared_ptr<const MonitorTargets>;
 
 }  // namespace saddlewing
--- a/src/registry/operator_api.cpp
+++ b/src/registry/operator_api.cpp
@@ -42,7 +42,7 @@
     : address_(settings.control),
       events_(events),
       server_(poller_, timers_, *this, 256, settings.memory_bytes / 8),
-      outcomes_(1024, [this] { poller_.wake(); }) {
+      replies_(1024, [this] { poller_.wake(); }) {
   server_.set_limits({32768, max_document(settings), Duration(5000), Duration(15000)});
 }
 
@@ -72,21 +72,21 @@
 }
 
 void OperatorApi::handle_replies(TimePoint now) {
-  for (OperatorReply& outcome : outcomes_.take()) {
-    const auto found = open_.find(outcome.token);
+  for (OperatorReply& result : replies_.take()) {
+    const auto found = open_.find(result.token);
     if (found == open_.end())
       continue;
     const bool is_read = found->second.is_read;
-    if (!outcome.is_done) {
-      finish(outcome.token,
+    if (!result.is_done) {
+      finish(result.token,
              json_reply(ErrorCode::no_leader, "no majority of the core answered in time"), now);
-    } else if (is_read && outcome.body.empty()) {
-      finish(outcome.token, json_reply(ErrorCode::no_route, "no configuration was taken yet"), now);
+    } else if (is_read && result.body.empty()) {
+      finish(result.token, json_reply(ErrorCode::no_route, "no configuration was taken yet"), now);
     } else {
-      if (!is_read && outcome.body.empty())
-        outcome.body = "{}\n";
-      Reply reply{200, "OK", "Content-Type: application/json\r\n", std::move(outcome.body)};
-      finish(outcome.token, std::move(reply), now);
+      if (!is_read && result.body.empty())
+        result.body = "{}\n";
+      Reply reply{200, "OK", "Content-Type: application/json\r\n", std::move(result.body)};
+      finish(result.token, std::move(reply), now);
     }
   }
 }
--- a/src/registry/operator_api.h
+++ b/src/registry/operator_api.h
@@ -16,8 +16,8 @@
   Error open();
   void start();
   void stop();
-  void tell(OperatorReply outcome) {
-    outcomes_.push(std::move(outcome));
+  void post_reply(OperatorReply result) {
+    replies_.push(std::move(result));
   }
 
   void on_request(ServerExchange& exchange, TimePoint now) override;
@@ -44,7 +44,7 @@
   Poller poller_;
   TimerQueue timers_;
   HttpServer server_;
-  BoundedQueue<OperatorReply> outcomes_;
+  BoundedQueue<OperatorReply> replies_;
   std::map<std::uint64_t, Open> open_;
   std::uint64_t last_token_ = 0;
   std::atomic<bool> should_stop_ = false;
--- a/src/registry/storage_thread.h
+++ b/src/registry/storage_thread.h
@@ -7,8 +7,8 @@
 #include <thread>
 
 #include "registry/events.h"
-#include "state/metrics.h"
 #include "state/durable_store.h"
+#include "state/metrics.h"
 
 namespace saddlewing {
 
@@ -44,7 +44,7 @@
         if (found)
           LOG(ERROR) << "disk: save failed: " << found.text();
         // Without this word nothing is saved any more, so it waits for room.
-        while (!should_stop_ && !events_.push(Saved{save.serial, !found}))
+        while (!should_stop_ && !events_.push(StorageResult{save.serial, !found}))
           std::this_thread::sleep_for(1ms);
       }
     }
--- a/tests/protocol/http_client_format_test.cpp
+++ b/tests/protocol/http_client_format_test.cpp
@@ -241,10 +241,10 @@
   BoundedQueue<ControlEvent> events(64, {});
   BackendMonitor monitor(settings, events);
   monitor.start();
-  auto order = std::make_shared<WatchOrder>();
+  auto order = std::make_shared<MonitorTargets>();
   order->is_observing = true;
   order->targets = {{"b-1", backend.address().text(), "/health?x=1", true}};
-  monitor.order(order);
+  monitor.set_targets(order);
   const auto turn = [&] {
     backend.turn();
     platform.turn();
--- a/tests/protocol/http_server_format_test.cpp
+++ b/tests/protocol/http_server_format_test.cpp
@@ -195,9 +195,9 @@
   void answer_calls() {
     for (const ControlEvent& event : events_.take()) {
       if (const auto* call = std::get_if<OperatorCall>(&event))
-        operator_api_->tell({call->token, is_done, outcome});
+        operator_api_->post_reply({call->token, is_done, outcome});
       if (const auto* call = std::get_if<BackendCall>(&event))
-        operator_api_->tell({call->token, is_done, outcome});
+        operator_api_->post_reply({call->token, is_done, outcome});
     }
   }
   BoundedQueue<ControlEvent> events_;
--- a/tests/registry/command_dispatcher_test.cpp
+++ b/tests/registry/command_dispatcher_test.cpp
@@ -40,7 +40,7 @@
       poller.poll(Duration(5));
       server_.reap();
       for (ControlEvent& event : events.take())
-        if (auto* told = std::get_if<NodeTold>(&event))
+        if (auto* told = std::get_if<NodeReply>(&event))
           return told->answer;
     }
     return {};
@@ -79,7 +79,7 @@
   bool is_silent = false;
   for (const TimePoint until = Clock::now() + 5s; Clock::now() < until && !is_silent;)
     for (ControlEvent& event : events.take())
-      if (auto* told = std::get_if<NodeTold>(&event))
+      if (auto* told = std::get_if<NodeReply>(&event))
         is_silent = told->answer.type == Type::silent;
   cr_expect(is_silent);
   dispatcher.stop();
@@ -104,7 +104,7 @@
     for (const TimePoint until = Clock::now() + 5s; Clock::now() < until;) {
       node.poller.poll(Duration(5));
       for (ControlEvent& event : events.take())
-        if (std::get_if<NodeTold>(&event))
+        if (std::get_if<NodeReply>(&event))
           return !node.path.empty();
     }
     return false;
--- a/tests/registry/discovery_service_test.cpp
+++ b/tests/registry/discovery_service_test.cpp
@@ -18,11 +18,11 @@
   const ConfigurationSnapshot& configuration() const override {
     return current;
   }
-  void order_monitor(WatchOrderSnapshot order) override {
+  void set_monitor_targets(MonitorTargetsSnapshot order) override {
     orders.push_back(std::move(order));
   }
   ConfigurationSnapshot current;
-  std::vector<WatchOrderSnapshot> orders;
+  std::vector<MonitorTargetsSnapshot> orders;
 };
 
 class RecordingReplySender final : public ReplySender {
