--- a/src/registry/storage_thread.h
+++ b/src/registry/storage_thread.h
@@ -1,5 +1,7 @@
 #pragma once
-// The disk thread: it alone waits on syncs.
+// The storage thread: saves the Raft state, so that no other thread waits for the disk.
+//
+// Does not decide what is saved or when; each save ends with a `StorageResult` to the control loop.
 #include <poll.h>
 
 #include <glog/logging.h>
@@ -14,16 +16,20 @@
 
 class StorageThread {
  public:
+  // `store` and `events` must outlive the thread.
   StorageThread(DurableStore& store, BoundedQueue<ControlEvent>& events)
       : store_(store), events_(events), saves_(4, [this] { waker_.wake(); }) {
   }
   void start() {
     thread_ = std::thread([this] { run(); });
   }
+  // Saves after those before it; false if too many wait. Only for the control loop.
   bool save(RaftNode::Save save) {
     return saves_.push(std::move(save));
   }
-  // A stuck disk must not keep the process: its thread is left behind.
+  // Lets the thread end, without waiting for it: a sync on a stuck disk can't be interrupted, and a
+  // join would keep the process alive with it. The thread is detached and may still use this object
+  // and the store, so the caller ends the process (`_exit`) before either is destroyed.
   void stop() {
     should_stop_ = true;
     waker_.wake();
