--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -5,15 +5,18 @@
 #include <algorithm>
 #include <utility>
 
-#include "state/compression.h"
 #include "state/metrics.h"
 
 namespace saddlewing {
 namespace {
 
-constexpr Duration call_wait{850};  // a little less than the desk waits
-constexpr Duration max_wait{100};
-constexpr std::size_t max_steps = 128;
+constexpr Duration max_wait{100};        // for input, in one round
+constexpr Duration min_leave_wait{200};  // between having left and the end, without waiting calls
+constexpr Duration foreign_log_interval{1000};
+constexpr std::size_t max_frames_per_round = 512;
+constexpr std::size_t max_events = 4096;  // that wait
+constexpr std::size_t max_contact_lists = 4;
+constexpr int quota_follows = 5;  // a retry quota lasts so many intervals between subscriptions
 
 std::vector<std::string> inner_addresses(const std::vector<Address>& contacts, int port) {
   std::vector<std::string> addresses;
@@ -26,25 +29,23 @@
                          const std::string& address) {
   RaftOptions options;
   options.address = address;
-  options.heartbeat_interval = settings.heartbeat;
-  options.election_timeout = settings.election;
-  options.random_seed = incarnation.value;
-  options.voter_count = static_cast<std::uint32_t>(settings.can_lose) * 2 + 1;
-  options.voter_timeout = replacement_timeout(settings.catch_up, settings.election);
-  options.leave_timeout = std::min(settings.catch_up / 2, settings.grace / 3);
+  options.heartbeat = settings.heartbeat;
+  options.election = settings.election;
+  options.draw = incarnation.value;
+  options.voters = static_cast<std::uint32_t>(settings.can_lose) * 2 + 1;
+  options.silent = replacement_timeout(settings.catch_up, settings.election);
+  options.leave_wait = std::min(settings.catch_up / 2, settings.grace / 3);
   return options;
 }
 
-ServiceRegistryOptions service_registry_options(const NodeSettings& settings) {
-  ServiceRegistryOptions options;
-  options.renewal_interval = settings.renewal;
-  options.lease_duration = settings.lease;
-  options.eviction_interval = settings.sweep;
-  options.renewal_threshold = settings.renewal_threshold;
-  options.has_self_preservation = settings.is_preserving;
-  options.tombstone = tombstone_duration(settings);
-  options.has_self_registration = settings.is_signing_up;
-  return options;
+// Decodes the rest of a frame and hands it to `handle`; false if it is damaged.
+template <class Body, class Handle>
+bool decode_and_handle(ByteReader& reader, Handle&& handle) {
+  Body body;
+  if (!decode(reader, body))
+    return false;
+  handle(std::move(body));
+  return true;
 }
 
 }  // namespace
@@ -52,26 +53,27 @@
 ControlLoop::ControlLoop(const NodeSettings& settings, PersistentState persistent,
                          IncarnationId incarnation)
     : settings_(settings),
-      incarnation_(incarnation),
       address_(Address{settings.ip_address, settings.inner_port}.text()),
-      events_(4096, [this] { waker_.wake(); }),
-      contacts_(4, [this] { waker_.wake(); }),
+      links_(link_context_, address_),
+      events_(max_events, [this] { waker_.wake(); }),
+      contacts_(max_contact_lists, [this] { waker_.wake(); }),
       raft_(std::move(persistent), raft_options(settings, incarnation, address_),
             inner_addresses(settings.contacts, settings.inner_port), Clock::now()),
-      registry_(service_registry_options(settings)),
-      failover_(failover_options(settings)),
-      shard_migration_(move_options(settings)),
-      edge_aggregator_(edge_options(settings)),
-      edge_rollout_(settings.rollout_wait),
-      rollout_(settings.rollout_wait),
-      grants_(settings.extra_tries, settings.follow * 5, settings.retry_span),
-      calls_(incarnation),
-      steps_(max_steps) {
-  born_ = Clock::now();
+      raft_context_(raft_, incarnation, address_, should_leave_),
+      discovery_service_(settings_, raft_context_, links_, *this),
+      failover_service_(settings_, raft_context_, discovery_service_.registry(), *this),
+      ring_service_(settings_, raft_context_, discovery_service_.registry(), *this),
+      broker_directory_(incarnation),
+      broker_count_memory_(raft_context_, Clock::now()),
+      configuration_service_(settings_, raft_context_, links_, *this),
+      endpoint_publisher_(raft_context_, discovery_service_.registry(), broker_directory_,
+                          reply_sender_),
+      edge_latency_service_(settings_, raft_context_, links_, *this),
+      retry_quotas_(settings.extra_tries, settings.follow * quota_follows, settings.retry_span) {
 }
 
 Error ControlLoop::open() {
-  return frame_server_.open(context_, Address{settings_.ip_address, settings_.inner_port});
+  return frame_server_.open(link_context_, Address{settings_.ip_address, settings_.inner_port});
 }
 
 void ControlLoop::start(OperatorApi& operator_api, BackendMonitor& monitor, StorageThread& storage,
@@ -87,301 +89,240 @@
   contacts_.replace(inner_addresses(contacts, settings_.inner_port));
 }
 
-void ControlLoop::reach(const std::string& address) {
-  if (address == address_ || clients_.contains(address))
-    return;
-  Address parsed;
-  if (parse_address(address, parsed))
-    clients_[address] = std::make_unique<FrameClient>(context_, parsed);
-}
-
-void ControlLoop::send_to(const std::string& address, const std::string& bytes) {
-  reach(address);
-  if (const auto found = clients_.find(address); found != clients_.end())
-    found->second->send(bytes);
-}
-
 void ControlLoop::run() {
-  TimePoint leave_by = TimePoint::max();
-  std::vector<void*> handles;
-  while (Clock::now() < leave_by) {
-    const auto addresses = raft_.known_addresses();
-    for (const std::string& address : addresses)
-      reach(address);
-    std::erase_if(clients_, [&](const auto& client) {
-      return std::find(addresses.begin(), addresses.end(), client.first) == addresses.end() &&
-             !peers_.contains(client.first);
-    });
-    handles.assign({frame_server_.handle()});
-    for (const auto& [address, client] : clients_)
-      handles.push_back(client->handle());
-    const Duration wait = std::clamp(
-        std::chrono::ceil<Duration>(std::min(raft_.next_due(), registry_due_) - Clock::now()),
-        Duration(0), max_wait);
-    wait_links(handles, waker_, wait);
-    for (ControlEvent& event : events_.take())
-      handle_event(event, Clock::now());
-    for (auto& contacts : contacts_.take())
-      raft_.set_contacts(std::move(contacts));
-    handle_each(
-        512, [&] { return frame_server_.receive(); }, Clock::now,
-        [&](const ReceivedFrame& frame, TimePoint came) { handle_frame(frame, came); });
+  while (Clock::now() < leave_by_) {
+    update_peer_links();
+    wait_for_input();
+    receive();
     const TimePoint now = Clock::now();
-    for (const auto& [address, client] : clients_)
-      while (client->receive()) {
-      }  // nothing is said on this way back
-    raft_.tick(now);
-    route_calls(now);
-    handle_output(now);
-    on_commit(now);
-    update_registry(now);
-    update_databases(now);
-    update_ring(now);
-    update_edges(now);
-    grants_.set_leading(raft_.is_leader() && raft_.is_confirmed(now), now);
-    dispatcher_->set_lease(raft_.term(), raft_.lease_until());
-    update_brokers(now);
-    advance_rollout(now);
-    handle_output(now);
-    if (should_leave_ && leave_by == TimePoint::max()) {
-      if (!std::exchange(is_leaving_, true))
-        LOG(INFO) << "agree: leaving";
-      raft_.leave(now);
-      handle_output(now);
-      if (raft_.has_left())
-        leave_by = now + call_wait;
-    }
-    // Calls at work are answered first, by whoever leads now.
-    if (leave_by != TimePoint::max() && calls_.is_empty() && now > leave_by - call_wait + 200ms)
+    links_.discard_received();
+    advance(now);
+    if (should_leave_ && leave_by_ == TimePoint::max())
+      leave_cluster(now);
+    if (may_stop(now))
       break;
   }
   has_left_ = true;
 }
 
+void ControlLoop::update_peer_links() {
+  const std::vector<std::string> addresses = raft_.known_addresses();
+  for (const std::string& address : addresses)
+    links_.connect(address);
+  links_.retain([&](const std::string& address) {
+    return std::find(addresses.begin(), addresses.end(), address) != addresses.end() ||
+           discovery_service_.knows_peer(address);
+  });
+}
+
+void ControlLoop::wait_for_input() {
+  handles_.assign({frame_server_.handle()});
+  links_.append_handles(handles_);
+  const TimePoint due = std::min(raft_.next_due(), discovery_service_.next_due());
+  const auto until_due = std::chrono::ceil<Duration>(due - Clock::now());
+  wait_links(handles_, waker_, std::clamp(until_due, Duration(0), max_wait));
+}
+
+void ControlLoop::receive() {
+  for (ControlEvent& event : events_.take())
+    handle_event(event, Clock::now());
+  for (auto& contacts : contacts_.take())
+    raft_.set_contacts(std::move(contacts));
+  take_each(
+      max_frames_per_round, [&] { return frame_server_.receive(); }, Clock::now,
+      [&](const ReceivedFrame& frame, TimePoint received_at) { handle_frame(frame, received_at); });
+}
+
+// One round. The order is part of the behaviour: what is committed is taken before anything is
+// decided by it, and what was proposed in this round leaves within it.
+void ControlLoop::advance(TimePoint now) {
+  raft_.tick(now);
+  configuration_service_.route_calls(now);
+  handle_output(now);
+  log_raft_changes();
+  configuration_service_.take_committed(now);
+  if (discovery_service_.tick(now))
+    update_metrics();
+  discovery_service_.send_renewals(now);
+  failover_service_.tick(now);
+  ring_service_.tick(now);
+  edge_latency_service_.tick(now);
+  retry_quotas_.lead(raft_.is_leader() && raft_.is_confirmed(now), now);
+  dispatcher_->set_lease(raft_.term(), raft_.lease_until());
+  maintain_brokers(now);
+  endpoint_publisher_.tick(now);
+  configuration_service_.advance_rollout(now);
+  handle_output(now);
+}
+
+void ControlLoop::leave_cluster(TimePoint now) {
+  if (!std::exchange(is_leaving_, true))
+    LOG(INFO) << "agree: leaving";
+  raft_.leave(now);
+  handle_output(now);
+  if (raft_.has_left())
+    leave_by_ = now + operator_call_timeout;
+}
+
+// Calls at work are answered first, by whoever leads now.
+bool ControlLoop::may_stop(TimePoint now) const {
+  return leave_by_ != TimePoint::max() && !configuration_service_.has_waiting_calls() &&
+         now > leave_by_ - operator_call_timeout + min_leave_wait;
+}
+
 void ControlLoop::handle_event(ControlEvent& event, TimePoint now) {
   if (auto* call = std::get_if<OperatorCall>(&event)) {
-    if (!call->is_read)
-      steps_.note(call->version, "taken", now);
-    calls_.add(call->is_read, call->version, std::move(call->body), call->token, now + call_wait);
-  } else if (const auto* saved = std::get_if<Saved>(&event)) {
-    raft_.handle_save_result(saved->serial, saved->is_saved, now);
-  } else if (const auto* listed = std::get_if<Listed>(&event)) {
-    if (is_observing_)
-      registry_.apply_listing(listed->entries, now);
-  } else if (const auto* renewed = std::get_if<Renewed>(&event)) {
-    if (is_observing_ && !renewed->id.empty())
-      registry_.renew(renewed->id, now);
+    configuration_service_.handle_operator_call(std::move(*call), now);
+  } else if (const auto* saved = std::get_if<StorageResult>(&event)) {
+    raft_.finish_save(saved->serial, saved->is_saved, now);
+  } else if (const auto* listed = std::get_if<BackendListing>(&event)) {
+    discovery_service_.handle_listing(listed->entries, now);
+  } else if (const auto* renewed = std::get_if<ProbeReply>(&event)) {
+    if (!renewed->id.empty())
+      discovery_service_.handle_probe_reply(renewed->id, now);
   } else if (auto* backend = std::get_if<BackendCall>(&event)) {
     handle_backend_call(*backend, now);
-  } else if (const auto* examined = std::get_if<Examined>(&event)) {
-    failover_.finish_command(examined->token, examined->status, now);
-  } else if (const auto* told = std::get_if<NodeTold>(&event)) {
-    shard_migration_.finish_order(told->token, told->answer);
+  } else if (const auto* examined = std::get_if<DatabaseReply>(&event)) {
+    failover_service_.finish_order(examined->token, examined->status, now);
+  } else if (const auto* told = std::get_if<NodeReply>(&event)) {
+    ring_service_.finish_order(told->token, told->answer);
   } else if (const auto* promoted = std::get_if<PromotionResult>(&event)) {
-    failover_.finish_promotion(promoted->token, promoted->status, now);
+    failover_service_.finish_promotion(promoted->token, promoted->status, now);
   }
 }
 
+void ControlLoop::handle_backend_call(const BackendCall& call, TimePoint now) {
+  std::optional<std::string> reply = discovery_service_.handle_backend_call(call.entry, now);
+  const bool is_done = reply.has_value();
+  operator_api_->post_reply({call.token, is_done, std::move(reply).value_or(std::string())});
+}
+
+void ControlLoop::update_metrics() const {
+  metrics().set(Metric::known_brokers, static_cast<std::int64_t>(broker_directory_.size()));
+  metrics().set(Metric::is_leader, raft_.is_leader());
+}
+
 void ControlLoop::handle_frame(const ReceivedFrame& frame, TimePoint now) {
   ByteReader reader(frame.bytes);
   FrameHead head;
-  bool is_good = decode_head(reader, head);
-  if (is_good) {
-    switch (head.kind) {
-      case FrameKind::raft: {
-        RaftMessage message;
-        if ((is_good = decode(reader, message) && message.address == head.from))
-          raft_.receive(message, now);
-        break;
-      }
-      case FrameKind::forward: {
-        ForwardedCall forward;
-        if (!(is_good = decode(reader, forward)))
-          break;
-        if (!forward.is_read)
-          steps_.note(forward.version, "passed on", now);
-        calls_.add(std::move(forward), head.from, head.incarnation, now + call_wait);
-        break;
-      }
-      case FrameKind::forwarded: {
-        ForwardedReply forwarded;
-        if (!(is_good = decode(reader, forwarded)))
-          break;
-        // Not done: it leads no more, and whoever does is asked next.
-        if (const std::uint64_t token = calls_.handle_reply(forwarded, head.from);
-            token && forwarded.is_done)
-          finish_call(token, true, std::move(forwarded.body));
-        break;
-      }
-      case FrameKind::follow: {
-        SubscribeRequest follow;
-        if ((is_good = decode(reader, follow)))
-          handle_subscribe(frame.routing_id, head, follow, now);
-        break;
-      }
-      case FrameKind::endpoints: {
-        EndpointList endpoints;
-        if ((is_good = decode(reader, endpoints)))
-          handle_endpoints(head, endpoints, now);
-        break;
-      }
-      case FrameKind::ring_call: {
-        RingCall call;
-        if ((is_good = decode(reader, call)))
-          handle_ring_call(frame.routing_id, call, now);
-        break;
-      }
-      case FrameKind::edge_sums: {
-        EdgeSums sums;
-        if ((is_good = decode(reader, sums)))
-          handle_edge_sums(sums, now);
-        break;
-      }
-      case FrameKind::edge_view: {
-        EdgeViewFrame frame;
-        if ((is_good = decode(reader, frame)))
-          handle_edge_view(head, frame, now);
-        break;
-      }
-      case FrameKind::renewed: {
-        RenewedIds renewed;
-        if ((is_good = decode(reader, renewed)))
-          for (const RenewedIds::Item& item : renewed.items)
-            registry_.apply_renewal(item, now);
-        break;
-      }
-      case FrameKind::trace:
-        handle_trace(frame.routing_id, now);
-        break;
-      case FrameKind::cluster_status_request:
-        send_status(frame.routing_id, now);
-        break;
-      default:
-        is_good = false;
-    }
-  }
-  if (is_good)
+  if (decode_head(reader, head) && (handle_peer_frame(head, reader, now) ||
+                                    handle_client_frame(frame.routing_id, head, reader, now)))
     return;
-  ++foreign_;
-  if (now - foreign_logged_ < 1s)
+  ++foreign_frames_;
+  if (now - foreign_logged_ < foreign_log_interval)
     return;
   foreign_logged_ = now;
-  LOG(WARNING) << "agree: frame dropped, foreign or damaged; " << foreign_ << " so far";
+  LOG(WARNING) << "agree: frame dropped, foreign or damaged; " << foreign_frames_ << " so far";
 }
 
-// Gives each waiting call to the leader of the moment.
-void ControlLoop::route_calls(TimePoint now) {
-  std::vector<std::uint64_t> ended, settled;
-  for (auto& [token, call] : calls_.calls()) {
-    const EntrySnapshot& committed = raft_.committed();
-    const std::string& leader = raft_.leader_address();
-    if (!call.is_read && committed && committed->version >= call.version) {
-      settled.push_back(token);
-      continue;
-    }
-    if (now > call.deadline) {
-      ended.push_back(token);
-      continue;
-    }
-    if (!call.sent_to.empty() && call.sent_to != leader && !leader.empty())
-      call.sent_to.clear();
-    if (!call.sent_to.empty())
-      continue;
-    if (raft_.is_leader()) {
-      call.sent_to = address_;
-      if (call.is_read)
-        raft_.read_index(token, now);
-      else
-        raft_.propose(call.version, call.body, token, now);
-    } else if (!leader.empty() && call.origin.empty()) {
-      const ForwardedCall forward = calls_.send(token, leader, raft_.term());
-      send_to(leader, encode(head(), forward));
-    } else if (!call.origin.empty()) {
-      ended.push_back(token);  // passed on to one that does not lead
-    }
+// Frames of other registries. False if it is none of them, or damaged.
+bool ControlLoop::handle_peer_frame(const FrameHead& head, ByteReader& reader, TimePoint now) {
+  switch (head.kind) {
+    case FrameKind::raft:
+      return handle_raft_frame(head, reader, now);
+    case FrameKind::forward:
+      return decode_and_handle<ForwardedCall>(reader, [&](ForwardedCall call) {
+        configuration_service_.handle_forwarded_call(head, std::move(call), now);
+      });
+    case FrameKind::forwarded:
+      return decode_and_handle<ForwardedReply>(reader, [&](ForwardedReply reply) {
+        configuration_service_.handle_forwarded_reply(head, std::move(reply));
+      });
+    case FrameKind::endpoints:
+      return decode_and_handle<EndpointList>(reader, [&](const EndpointList& endpoints) {
+        discovery_service_.handle_endpoints(head, endpoints, now);
+      });
+    case FrameKind::renewed:
+      return decode_and_handle<RenewedIds>(reader, [&](const RenewedIds& renewals) {
+        discovery_service_.handle_renewals(renewals, now);
+      });
+    case FrameKind::edge_sums:
+      return decode_and_handle<EdgeSums>(
+          reader, [&](const EdgeSums& sums) { edge_latency_service_.handle_sums(sums, now); });
+    case FrameKind::edge_view:
+      return decode_and_handle<EdgeViewFrame>(reader, [&](const EdgeViewFrame& view) {
+        edge_latency_service_.handle_view(head, view, now);
+      });
+    default:
+      return false;
   }
-  for (const std::uint64_t token : settled)
-    finish_call(token, true, {});
-  for (const std::uint64_t token : ended)
-    finish_call(token, false, {});
 }
 
-// A change that is done is told what became of it by what is committed here; `body`: what another
-// registry told, or read.
-void ControlLoop::finish_call(std::uint64_t token, bool is_done, std::string body) {
-  const auto call = calls_.remove(token);
-  if (!call)
-    return;
-  if (is_done && !call->is_read && body.empty() && raft_.committed())
-    body = make_acknowledgement(*raft_.committed(), call->version, call->digest);
-  if (call->origin.empty())
-    operator_api_->tell({call->origin_token, is_done, std::move(body)});
-  else
-    send_to(call->origin, encode(head(), PendingCalls::make_reply(*call, is_done, raft_.term(),
-                                                                  std::move(body))));
+bool ControlLoop::handle_raft_frame(const FrameHead& head, ByteReader& reader, TimePoint now) {
+  RaftMessage message;
+  if (!decode(reader, message) || message.address != head.from)
+    return false;
+  raft_.receive(message, now);
+  return true;
+}
+
+// Frames of brokers, poolers and operators' tools. False if it is none of them, or damaged.
+bool ControlLoop::handle_client_frame(const std::string& routing_id, const FrameHead& head,
+                                      ByteReader& reader, TimePoint now) {
+  switch (head.kind) {
+    case FrameKind::follow:
+      return decode_and_handle<SubscribeRequest>(reader, [&](const SubscribeRequest& request) {
+        handle_subscribe(routing_id, head, request, now);
+      });
+    case FrameKind::ring_call:
+      return decode_and_handle<RingCall>(
+          reader, [&](const RingCall& call) { handle_ring_call(routing_id, call, now); });
+    case FrameKind::trace:
+      handle_trace(routing_id, now);
+      return true;
+    case FrameKind::cluster_status_request:
+      send_status(routing_id, now);
+      return true;
+    default:
+      return false;
+  }
 }
 
 void ControlLoop::handle_output(TimePoint now) {
-  RaftNode::Output output = raft_.take_output(now);
+  RaftNode::Output output = raft_.take(now);
   if (output.save && !storage_->save(std::move(*output.save)))
     LOG(ERROR) << "agree: disk thread is behind";
   for (const auto& outgoing : output.messages)
-    send_to(outgoing.to, encode(head(), outgoing.message));
+    links_.send_to(outgoing.to, encode(head(), outgoing.message));
   for (const auto& result : output.results) {
-    if (result.token == ~0ull)
-      failover_.finish_proposal();
-    if (result.token == ~0ull - 1)
-      shard_migration_.finish_proposal();
-    PendingCalls::Call* call = calls_.find(result.token);
-    if (!call)
-      continue;
-    if (result.outcome == RaftNode::Outcome::done)
-      finish_call(result.token, true, result.state ? result.state->body : "");
-    else if (call->sent_to == address_)
-      call->sent_to.clear();
+    if (result.token == leadership_proposal_token)
+      failover_service_.finish_proposal();
+    if (result.token == ring_proposal_token)
+      ring_service_.finish_proposal();
+    configuration_service_.handle_result(result);
   }
 }
 
-void ControlLoop::on_commit(TimePoint now) {
+bool ControlLoop::dispatch(DispatchedCommand command) {
+  return dispatcher_->order(std::move(command));
+}
+
+void ControlLoop::reply_to_operator(OperatorReply reply) {
+  operator_api_->post_reply(std::move(reply));
+}
+
+void ControlLoop::set_monitor_targets(MonitorTargetsSnapshot targets) {
+  backend_monitor_->set_targets(std::move(targets));
+}
+
+void ControlLoop::log_raft_changes() {
   if (raft_.is_leader() != was_leader_) {
     was_leader_ = raft_.is_leader();
     LOG(INFO) << "agree: " << (was_leader_ ? "leads" : "follows") << " in term "
               << raft_.term().value;
   }
-  if (!raft_.committed() || raft_.committed() == noted_)
+  const EntrySnapshot& committed = raft_.committed();
+  if (!committed || committed == logged_entry_)
     return;
-  const bool is_new_version = !noted_ || noted_->version != raft_.committed()->version;
-  if (!noted_ || noted_->members != raft_.committed()->members ||
-      noted_->outgoing != raft_.committed()->outgoing) {
+  if (!logged_entry_ || logged_entry_->members != committed->members ||
+      logged_entry_->outgoing != committed->outgoing) {
     std::string members;
-    for (const Member& member : raft_.committed()->members)
+    for (const Member& member : committed->members)
       members += " " + member.address;
     LOG(INFO) << "agree: members" << members
-              << (raft_.committed()->outgoing.empty() ? "" : ", joint with the former ones");
-  }
-  noted_ = raft_.committed();
-  if (!is_new_version || noted_->version.value == 0)
-    return;
-  steps_.note(noted_->version, "committed", now);
-  rollout_.commit(noted_->version, now);
-  metrics().set(Metric::configuration_version, noted_->version.value);
-  LOG(INFO) << "agree: edition " << noted_->version.value << " committed";
-  ConfigurationSnapshot snapshot;
-  if (Error found = read_configuration(noted_->body, snapshot)) {
-    LOG(ERROR) << "agree: committed configuration unreadable: " << found.text();
-    return;
+              << (committed->outgoing.empty() ? "" : ", joint with the former ones");
   }
-  configuration_ = std::move(snapshot);
-  packed_ = pack(noted_->body);
-  std::set<std::string> services;
-  for (const Service& service : configuration_->services)
-    services.insert(service.name);
-  registry_.set_services(std::move(services));
-  ordered_revision_ = ~0ull;
-  for (auto& [from, broker] : brokers_)
-    send_heartbeat(broker, false, now);
-  if (!brokers_.empty())
-    steps_.note(noted_->version, "sent", now);
+  logged_entry_ = committed;
 }
 
 }  // namespace saddlewing
--- a/src/registry/control_loop.h
+++ b/src/registry/control_loop.h
@@ -1,25 +1,34 @@
 #pragma once
-// The agree thread of a registry: agreement, the registry of backends, and the brokers that follow.
+// The control thread of a registry: owns the Raft node and the parts that decide by it, hands each
+// event and frame to the part it is for, and lets all parts proceed once in each round.
+//
+// The loop itself decides nothing but the order. It implements the interfaces through which the
+// parts reach each other and the other threads; no part knows another one or the loop. The services
+// around it (operator API, backend monitor, storage, command dispatcher) run in threads of their
+// own and are reached through bounded queues. Source: control_brokers.cpp has subscriptions and
+// heartbeats, control_operators.cpp the calls of operators' tools.
 #include <atomic>
 #include <map>
+#include <optional>
 #include <thread>
 
-#include "coordination/databases/failover.h"
-#include "coordination/databases/log_position_samples.h"
-#include "coordination/discovery/service_registry.h"
-#include "coordination/leases/request_clock.h"
-#include "coordination/leases/retry_quota_allocator.h"
-#include "coordination/leases/term_fence.h"
-#include "coordination/placement/shard_migration.h"
-#include "coordination/raft/pending_calls.h"
+#include "coordination/leases/retry_quota.h"
 #include "coordination/raft/raft_node.h"
-#include "coordination/rollout/version_rollout.h"
-#include "coordination/routing/edge_latency.h"
-#include "protocol/version_trace.h"
 #include "registry/backend_monitor.h"
+#include "registry/broker_count_memory.h"
+#include "registry/broker_directory.h"
 #include "registry/command_dispatcher.h"
+#include "registry/configuration_service.h"
+#include "registry/control_context.h"
+#include "registry/discovery_service.h"
+#include "registry/edge_latency_service.h"
+#include "registry/endpoint_publisher.h"
 #include "registry/events.h"
+#include "registry/failover_service.h"
 #include "registry/operator_api.h"
+#include "registry/peer_links.h"
+#include "registry/reply_sender.h"
+#include "registry/ring_service.h"
 #include "registry/storage_thread.h"
 #include "state/configuration.h"
 #include "state/node_settings.h"
@@ -27,20 +36,26 @@
 
 namespace saddlewing {
 
-inline constexpr Duration whole_silence{2500};  // a peer unheard for longer is not named to anyone
-FailoverOptions failover_options(const NodeSettings& settings);
-MoveOptions move_options(const NodeSettings& settings);
-
-class ControlLoop {
+class ControlLoop final : private EdgeEnvironment,
+                          private RingEnvironment,
+                          private FailoverEnvironment,
+                          private DiscoveryEnvironment,
+                          private ConfigurationEnvironment {
  public:
+  // `persistent`: as read from the disk. `incarnation`: drawn anew at each start of the process.
   ControlLoop(const NodeSettings& settings, PersistentState persistent, IncarnationId incarnation);
+
+  // Listens at the inner address; to be called once, before start().
   Error open();
+  // Starts the thread. The other threads' objects must outlive join().
   void start(OperatorApi& operator_api, BackendMonitor& monitor, StorageThread& storage,
              CommandDispatcher& dispatcher);
-  void leave() {  // hands the lead over and ends
+  // Transfers leadership, leaves the cluster and ends the thread. Returns at once; any thread.
+  void leave() {
     should_leave_ = true;
-    events_.push(Renewed{});
+    events_.push(ProbeReply{});  // wakes the thread
   }
+  // The thread has ended; any thread.
   bool has_left() const {
     return has_left_;
   }
@@ -48,150 +63,124 @@
     if (thread_.joinable())
       thread_.join();
   }
+  // Replaces the addresses at which other registries are looked for; any thread.
   void set_contacts(const std::vector<Address>& contacts);
+  // Where the other threads leave what they have for this one.
   BoundedQueue<ControlEvent>& events() {
     return events_;
   }
 
  private:
-  struct Broker {
-    std::string routing_id, from, region;
-    IncarnationId incarnation;
-    bool is_ready = false;
-    std::uint64_t brokers_revision = 0;  // of the seats it knows
-    Version held;
-    std::uint64_t sent_revision = 0;
-    bool wants_endpoints = false, is_pooler = false;
-    std::uint64_t token = 0, leadership_revision = 0;  // of its last follow
-    std::uint64_t edges_held = 0;
-    RequestClock heartbeats;  // of a pooler: when the last ones left, by serial
-    TimePoint last_contact;
-  };
-  struct Peer {
-    IncarnationId incarnation;
-    std::uint64_t sent_revision = 0,
-                  received_revision =
-                      0;      // received_revision: of its roster, as far as it came here
-    bool is_missing = false;  // something of its roster did not come
-    std::string zone;
-    TimePoint full_sync_due{}, observed{}, sent{}, last_contact{};
-  };
-
   void run();
+  void update_peer_links();
+  void wait_for_input();
+  void receive();
+  void advance(TimePoint now);
+  void leave_cluster(TimePoint now);
+  bool may_stop(TimePoint now) const;
+
   void handle_event(ControlEvent& event, TimePoint now);
+  void handle_backend_call(const BackendCall& call, TimePoint now);
   void handle_frame(const ReceivedFrame& frame, TimePoint now);
+  bool handle_peer_frame(const FrameHead& head, ByteReader& reader, TimePoint now);
+  bool handle_raft_frame(const FrameHead& head, ByteReader& reader, TimePoint now);
+  bool handle_client_frame(const std::string& routing_id, const FrameHead& head, ByteReader& reader,
+                           TimePoint now);
+  void handle_output(TimePoint now);
+  void log_raft_changes();
+  void update_metrics() const;
+  FrameHead head() const {
+    return raft_context_.frame_head();
+  }
+
+  // control_brokers.cpp
   void handle_subscribe(const std::string& routing_id, const FrameHead& head,
-                        const SubscribeRequest& follow, TimePoint now);
-  void handle_endpoints(const FrameHead& head, const EndpointList& endpoints, TimePoint now);
+                        const SubscribeRequest& request, TimePoint now);
+  void maintain_brokers(TimePoint now);
+  void send_heartbeat(ConnectedBroker& to, TimePoint now, ControlHeartbeat heartbeat = {});
+  void add_retry_quota(const ConnectedBroker& to, ControlHeartbeat& heartbeat, TimePoint now);
+  void add_own_state(ControlHeartbeat& heartbeat, TimePoint now) const;
+  void add_broker_state(const ConnectedBroker& to, ControlHeartbeat& heartbeat);
+  void add_pooler_state(ConnectedBroker& to, ControlHeartbeat& heartbeat, TimePoint now);
+
+  // control_operators.cpp
+  void handle_ring_call(const std::string& routing_id, const RingCall& call, TimePoint now);
+  RingAnswer answer_operator(const RingCall& call, TimePoint now);
   void handle_trace(const std::string& routing_id, TimePoint now);
   void send_status(const std::string& routing_id, TimePoint now);
-  void route_calls(TimePoint now);
-  void finish_call(std::uint64_t token, bool is_done, std::string body);
-  Term led_in() const {
-    return raft_.leader_address().empty() ? Term{} : raft_.term();
-  }  // a term that has a leader
-  void handle_output(TimePoint now);
-  void on_commit(TimePoint now);
-  void update_registry(TimePoint now);
-  void update_brokers(TimePoint now);
-  void advance_rollout(TimePoint now);
-  void choose_seats(const Broker& to, ControlHeartbeat& heartbeat);
-  void remember_brokers(TimePoint now);
-  void send_heartbeat(Broker& broker, bool is_granting, TimePoint now,
-                      ControlHeartbeat heartbeat = {});
-  void handle_backend_call(BackendCall& call, TimePoint now);
-  void update_databases(TimePoint now);
-  void handle_ring_call(const std::string& routing_id, const RingCall& call, TimePoint now);
-  RingAnswer answer_ring(const RingCall& call, TimePoint now);
-  Error check_ring(const std::string& file, RingMap& ring) const;
-  RingAnswer answer_move(const RingCall& call, TimePoint now);
-  void bound_ring_reads();
-  std::string show_ring(bool has_proposals, TimePoint now);
-  void update_ring(TimePoint now);
-  void handle_ring_subscription(const FrameHead& from, const SubscribeRequest& follow,
-                                ControlHeartbeat& heartbeat, TimePoint now);
-  void update_edges(TimePoint now);
-  void handle_edge_subscription(const SubscribeRequest& follow, Broker& broker);
-  void handle_edge_view(const FrameHead& from, const EdgeViewFrame& frame, TimePoint now);
-  void handle_edge_sums(const EdgeSums& sums, TimePoint now);
-  std::string show_edges(TimePoint now) const;
-  void handle_pooler(const FrameHead& from, const SubscribeRequest& follow, Broker& broker,
-                     ControlHeartbeat& heartbeat, TimePoint now);
-  void send_to(const std::string& address, const std::string& bytes);
-  void reach(const std::string& address);
-  FrameHead head() const {
-    return {FrameKind::raft, incarnation_, address_};
+
+  // What the parts need of each other and of the other threads.
+  const ConfigurationSnapshot& configuration() const override {
+    return configuration_service_.configuration();
+  }
+  void propose_configuration(Version version, const std::string& body, std::uint64_t token,
+                             TimePoint now) override {
+    raft_.propose(version, body, token, now);
+  }
+  void read_committed(std::uint64_t token, TimePoint now) override {
+    raft_.read_index(token, now);
+  }
+  void apply_configuration(const Configuration& configuration) override {
+    discovery_service_.handle_configuration(configuration);
+  }
+  std::vector<std::string> broker_addresses() const override {
+    return broker_directory_.broker_addresses();
+  }
+  std::vector<Version> held_versions() const override {
+    return broker_directory_.held_versions();
   }
+  std::vector<Version> held_edge_views() const override {
+    return broker_directory_.held_edge_views();
+  }
+  Capacities edge_capacities() const override;
+  void notify_brokers(TimePoint now) override;
+  void notify_poolers(TimePoint now) override;
+  void send_ring(std::uint64_t revision, const std::string& encoded_ring, TimePoint now) override;
+  bool dispatch(DispatchedCommand command) override;
+  void reply_to_operator(OperatorReply reply) override;
+  void set_monitor_targets(MonitorTargetsSnapshot targets) override;
 
   const NodeSettings settings_;
-  const IncarnationId incarnation_;
-  const std::string address_;
-  LinkContext context_;
+  const std::string address_;  // inner address
+
+  LinkContext link_context_;
   FrameServer frame_server_;
-  std::map<std::string, std::unique_ptr<FrameClient>> clients_;
+  FrameServerReplySender reply_sender_{frame_server_};
+  PeerLinks links_;
+  std::vector<void*> handles_;  // waited for in this round
   Waker waker_;
   BoundedQueue<ControlEvent> events_;
   BoundedQueue<std::vector<std::string>> contacts_;
+
+  // Written by leave() in any thread, read by the control thread; `has_left_` the other way round.
+  std::atomic<bool> should_leave_ = false;
+  std::atomic<bool> has_left_ = false;
+  bool is_leaving_ = false;                // said in the log
+  TimePoint leave_by_ = TimePoint::max();  // once the cluster was left: the latest end
+
   RaftNode raft_;
-  ServiceRegistry registry_;
+  RaftControlContext raft_context_;
+  DiscoveryService discovery_service_;
+  FailoverService failover_service_;
+  RingService ring_service_;
+  BrokerDirectory broker_directory_;
+  BrokerCountMemory broker_count_memory_;
+  ConfigurationService configuration_service_;
+  EndpointPublisher endpoint_publisher_;
+  EdgeLatencyService edge_latency_service_;
+  RetryQuotaAllocator retry_quotas_;
+
+  // Not owned; set by start().
   OperatorApi* operator_api_ = nullptr;
   BackendMonitor* backend_monitor_ = nullptr;
   StorageThread* storage_ = nullptr;
   CommandDispatcher* dispatcher_ = nullptr;
-  Failover failover_;
-  LeadershipTable leaderships_;   // as committed
-  std::string leaderships_text_;  // the same, as it travels
-  EntrySnapshot leaderships_seen_;
-  RingDocument ring_document_;  // as committed; mark 0: none
-  std::string ring_text_;
-  RingMap ring_;
-  ShardMigration shard_migration_;
-  RingLoadMonitor ring_load_monitor_{WatchOptions{}};
-  RingLoads ring_loads_{Duration(30000)};
-  AccountLoads account_loads_{Duration(30000), 256};
-  std::map<std::string, TimePoint> ring_told_;  // brokers whose counts are in
-  double lookups_ = 0, late_lookups_ = 0;
-  TimePoint ring_due_{}, ring_watched_{};
-  bool is_ring_over_ = false;
-  EntrySnapshot ring_seen_;
-  // Ready brokers by region, each list ordered by the hash of its address; made anew when one came,
-  // went or changed.
-  using SeatRing = std::vector<std::pair<std::size_t, std::string>>;
-  std::map<std::string, SeatRing> seats_;
-  bool are_seats_old_ = true;
-  // How many brokers there were, agreed, for the moments after all of them started anew.
-  std::uint64_t remembered_brokers_ = 0;
-  TimePoint born_{}, counted_{}, count_differs_since_{};
-  std::uint64_t notified_revision_ = ~0ull;  // of the registry when every broker fed here had it
-  struct Delta {
-    std::uint64_t base = 0, revision = 0;
-    std::string bytes;
-  };
-  Delta delta_;  // the last one sent: most brokers need the same
-  EdgeLatencyAggregator edge_aggregator_;
-  std::map<std::string, EdgeCounts> edge_counts_;  // by region of the brokers fed here
-  VersionRollout edge_rollout_;
-  std::string edges_text_;
-  TimePoint edges_due_{}, edges_told_{};
-  LogPositionSamples samples_;  // of the poolers fed here
-  Term led_term_;               // the last term the failover knew of
-  TimePoint renewed_due_{};
-
-  std::map<std::string, Broker> brokers_;  // by inner address
-  std::map<std::string, Peer> peers_;      // by inner address
-  EntrySnapshot noted_;                    // the committed entry that was made known
-  ConfigurationSnapshot configuration_;
-  std::string packed_;  // its body, as brokers get it
-  VersionRollout rollout_;
-  RetryQuotaAllocator grants_;
-  PendingCalls calls_;
-  TermFence fence_;  // of what other registries steer
-  bool is_observing_ = false, was_leader_ = false, is_leaving_ = false;
-  std::uint64_t ordered_revision_ = ~0ull;
-  TimePoint registry_due_{}, foreign_logged_{};
-  std::uint64_t foreign_ = 0;
-  VersionTrace steps_;
-  std::atomic<bool> should_leave_ = false, has_left_ = false;
+
+  TimePoint broker_check_due_{};
+  EntrySnapshot logged_entry_;  // the committed entry whose members were logged last
+  bool was_leader_ = false;     // at the last round
+  TimePoint foreign_logged_{};
+  std::uint64_t foreign_frames_ = 0;  // dropped, foreign or damaged
   std::thread thread_;
 };
 
