--- a/src/pooler/pooler_leadership.cpp
+++ b/src/pooler/pooler_leadership.cpp
@@ -112,7 +112,7 @@
     return;
   has_news_ = false;
   reported_ = now;
-  Evidence evidence;
+  LeadershipEvidence evidence;
   evidence.revision = leaderships_->revision;
   for (std::size_t position = 0; position < leaderships_->leaderships.size(); ++position) {
     const auto backend = backends_.find(leaderships_->leaderships[position].id);
@@ -133,7 +133,7 @@
   metrics().set(Metric::database_connections, static_cast<std::int64_t>(pool_.count()));
   metrics().set(Metric::waiting_sessions, static_cast<std::int64_t>(waiting_.size() + pool_.waiting()));
   metrics().set(Metric::is_ready, is_ready());
-  control_client_->report(std::move(evidence));
+  control_client_->report_evidence(std::move(evidence));
 }
 
 BackendPointer PoolerLoop::lead_of(const std::string& service, TimePoint now) const {
--- a/src/registry/broker_directory.h
+++ b/src/registry/broker_directory.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/leases/term_fence.h"
+#include "coordination/leases/request_clock.h"
 #include "protocol/frames.h"
 #include "state/types.h"
 
--- a/src/registry/configuration_service.cpp
+++ b/src/registry/configuration_service.cpp
@@ -40,7 +40,7 @@
 }
 
 void ConfigurationService::handle_forwarded_reply(const FrameHead& from, ForwardedReply reply) {
-  const std::uint64_t token = calls_.take(reply, from.from);
+  const std::uint64_t token = calls_.handle_reply(reply, from.from);
   // Not done: it leads no more, and whoever does is asked next.
   if (token != 0 && reply.is_done)
     finish_call(token, true, std::move(reply.body));
@@ -50,7 +50,7 @@
   PendingCalls::Call* call = calls_.find(result.token);
   if (!call)
     return;
-  if (result.verdict == RaftNode::Verdict::done)
+  if (result.outcome == RaftNode::Outcome::done)
     finish_call(result.token, true, result.state ? result.state->body : "");
   else if (call->sent_to == own_address_)
     call->sent_to.clear();
@@ -112,11 +112,11 @@
   if (!call)
     return;
   if (is_done && !call->is_read && body.empty() && context_.committed())
-    body = acknowledge(*context_.committed(), call->version, call->digest);
+    body = make_acknowledgement(*context_.committed(), call->version, call->digest);
   if (call->origin.empty())
     return environment_.reply_to_operator({call->origin_token, is_done, std::move(body)});
   const ForwardedReply reply =
-      PendingCalls::answer(*call, is_done, context_.term(), std::move(body));
+      PendingCalls::make_reply(*call, is_done, context_.term(), std::move(body));
   peers_.send_to(call->origin, encode(context_.frame_head(), reply));
 }
 
@@ -151,11 +151,10 @@
 void ConfigurationService::advance_rollout(TimePoint now) {
   if (!rollout_.is_pending() || (context_.is_leader() && !context_.is_leased(now)))
     return;
-  const VersionRollout::Turn turn = rollout_.advance(environment_.held_versions(), now);
-  if (turn == VersionRollout::Turn::none)
+  const VersionRollout::Activation activation = rollout_.advance(environment_.held_versions(), now);
+  if (activation == VersionRollout::Activation::none)
     return;
-  const bool is_held_by_all = turn == VersionRollout::Turn::held_by_all;
-  trace_.note(rollout_.in_force(), is_held_by_all ? "held by all" : "waited enough", now);
+  trace_.note(rollout_.in_force(), name_of(activation), now);
   environment_.notify_brokers(now);
 }
 
--- a/src/registry/control_brokers.cpp
+++ b/src/registry/control_brokers.cpp
@@ -21,7 +21,7 @@
   if (request.zone.empty()) {
     ring_service_.handle_subscription(from, request, heartbeat, now);
   } else {
-    const auto echoed_at = broker.heartbeats.find(request.echo_incarnation, request.echo);
+    const auto echoed_at = broker.heartbeats.sent_at(request.echo_incarnation, request.echo);
     failover_service_.handle_subscription(from, request, echoed_at, heartbeat, now);
   }
   if (!broker.is_pooler)
@@ -41,7 +41,7 @@
   heartbeat.grant = static_cast<std::uint64_t>(
       retry_quotas_.grant(to.address, to.incarnation, broker_directory_.size(), now) *
       retry_quota_resolution);
-  heartbeat.grant_valid = static_cast<std::uint64_t>(retry_quotas_.valid().count());
+  heartbeat.grant_valid = static_cast<std::uint64_t>(retry_quotas_.grant_duration().count());
 }
 
 // `heartbeat`: what goes to this receiver alone; the rest is filled in.
@@ -90,7 +90,7 @@
   if (!to.wants_endpoints)
     return;
   heartbeat.samples = failover_service_.encode_samples(now);
-  heartbeat.serial = to.heartbeats.ask(now);
+  heartbeat.serial = to.heartbeats.record_request(now);
 }
 
 void ControlLoop::maintain_brokers(TimePoint now) {
@@ -126,10 +126,10 @@
 
 EdgeEnvironment::Capacities ControlLoop::edge_capacities() const {
   Capacities capacities;
-  for (const auto& [id, line] : discovery_service_.registry().lines())
-    if (line.entry.phase == Phase::ready && line.entry.status == Status::up)
-      capacities[{line.entry.service, line.entry.zone}] +=
-          static_cast<double>(std::max<std::uint64_t>(1, line.entry.capacity));
+  for (const auto& [id, leased] : discovery_service_.registry().endpoints())
+    if (leased.endpoint.phase == Phase::ready && leased.endpoint.status == Status::up)
+      capacities[{leased.endpoint.service, leased.endpoint.zone}] +=
+          static_cast<double>(std::max<std::uint64_t>(1, leased.endpoint.capacity));
   for (const auto& [address, broker] : broker_directory_.brokers())
     if (broker.is_ready)
       capacities[{"", broker.region}] += delegations_per_broker;
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -2,6 +2,8 @@
 
 #include <glog/logging.h>
 
+#include "coordination/leases/handle_each.h"
+
 #include <algorithm>
 #include <utility>
 
@@ -29,12 +31,12 @@
                          const std::string& address) {
   RaftOptions options;
   options.address = address;
-  options.heartbeat = settings.heartbeat;
-  options.election = settings.election;
-  options.draw = incarnation.value;
-  options.voters = static_cast<std::uint32_t>(settings.can_lose) * 2 + 1;
-  options.silent = replacement_timeout(settings.catch_up, settings.election);
-  options.leave_wait = std::min(settings.catch_up / 2, settings.grace / 3);
+  options.heartbeat_interval = settings.heartbeat;
+  options.election_timeout = settings.election;
+  options.random_seed = incarnation.value;
+  options.voter_count = static_cast<std::uint32_t>(settings.can_lose) * 2 + 1;
+  options.voter_timeout = replacement_timeout(settings.catch_up, settings.election);
+  options.leave_timeout = std::min(settings.catch_up / 2, settings.grace / 3);
   return options;
 }
 
@@ -128,7 +130,7 @@
     handle_event(event, Clock::now());
   for (auto& contacts : contacts_.take())
     raft_.set_contacts(std::move(contacts));
-  take_each(
+  handle_each(
       max_frames_per_round, [&] { return frame_server_.receive(); }, Clock::now,
       [&](const ReceivedFrame& frame, TimePoint received_at) { handle_frame(frame, received_at); });
 }
@@ -147,7 +149,7 @@
   failover_service_.tick(now);
   ring_service_.tick(now);
   edge_latency_service_.tick(now);
-  retry_quotas_.lead(raft_.is_leader() && raft_.is_confirmed(now), now);
+  retry_quotas_.set_leading(raft_.is_leader() && raft_.is_confirmed(now), now);
   dispatcher_->set_lease(raft_.term(), raft_.lease_until());
   maintain_brokers(now);
   endpoint_publisher_.tick(now);
@@ -174,7 +176,7 @@
   if (auto* call = std::get_if<OperatorCall>(&event)) {
     configuration_service_.handle_operator_call(std::move(*call), now);
   } else if (const auto* saved = std::get_if<StorageResult>(&event)) {
-    raft_.finish_save(saved->serial, saved->is_saved, now);
+    raft_.handle_save_result(saved->serial, saved->is_saved, now);
   } else if (const auto* listed = std::get_if<BackendListing>(&event)) {
     discovery_service_.handle_listing(listed->entries, now);
   } else if (const auto* renewed = std::get_if<ProbeReply>(&event)) {
@@ -279,7 +281,7 @@
 }
 
 void ControlLoop::handle_output(TimePoint now) {
-  RaftNode::Output output = raft_.take(now);
+  RaftNode::Output output = raft_.take_output(now);
   if (output.save && !storage_->save(std::move(*output.save)))
     LOG(ERROR) << "agree: disk thread is behind";
   for (const auto& outgoing : output.messages)
--- a/src/registry/control_loop.h
+++ b/src/registry/control_loop.h
@@ -12,7 +12,7 @@
 #include <optional>
 #include <thread>
 
-#include "coordination/leases/retry_quota.h"
+#include "coordination/leases/retry_quota_allocator.h"
 #include "coordination/raft/raft_node.h"
 #include "registry/backend_monitor.h"
 #include "registry/broker_count_memory.h"
--- a/src/registry/discovery_service.cpp
+++ b/src/registry/discovery_service.cpp
@@ -18,13 +18,13 @@
 
 ServiceRegistryOptions service_registry_options(const NodeSettings& settings) {
   ServiceRegistryOptions options;
-  options.renewal = settings.renewal;
-  options.lease = settings.lease;
-  options.sweep = settings.sweep;
+  options.renewal_interval = settings.renewal;
+  options.lease_duration = settings.lease;
+  options.eviction_interval = settings.sweep;
   options.renewal_threshold = settings.renewal_threshold;
-  options.is_preserving = settings.is_preserving;
-  options.tombstone = registry_tombstone(settings);
-  options.is_signing_up = settings.is_signing_up;
+  options.has_self_preservation = settings.is_preserving;
+  options.tombstone = tombstone_duration(settings);
+  options.has_self_registration = settings.is_signing_up;
   return options;
 }
 
@@ -42,7 +42,7 @@
 
 void DiscoveryService::handle_listing(const std::vector<Endpoint>& entries, TimePoint now) {
   if (is_observing_)
-    registry_.observe(entries, now);
+    registry_.apply_listing(entries, now);
 }
 
 void DiscoveryService::handle_probe_reply(const std::string& id, TimePoint now) {
@@ -57,7 +57,7 @@
   const bool is_cancel = entry.phase != Phase::ready;
   if (!settings_.is_signing_up || (is_cancel && !context_.is_confirmed(now)))
     return std::nullopt;
-  registry_.sign(entry, now);
+  registry_.handle_heartbeat(entry, now);
   if (is_cancel)
     next_due_ = now;  // the others hear of it at once
   if (is_cancel || entry.zone == settings_.zone)
@@ -71,14 +71,14 @@
 
 void DiscoveryService::handle_renewals(const RenewedIds& renewals, TimePoint now) {
   for (const RenewedIds::Item& item : renewals.items)
-    registry_.renew_signed(item, now);
+    registry_.apply_renewal(item, now);
 }
 
 void DiscoveryService::handle_configuration(const Configuration& configuration) {
   std::set<std::string> services;
   for (const Service& service : configuration.services)
     services.insert(service.name);
-  registry_.name_services(std::move(services));
+  registry_.set_services(std::move(services));
   ordered_revision_ = no_revision;
 }
 
@@ -86,7 +86,7 @@
   if (!settings_.is_signing_up || now < renewals_due_)
     return;
   renewals_due_ = now + renewals_interval;
-  const RenewedIds renewals = registry_.take_renewed(now);
+  const RenewedIds renewals = registry_.take_renewals(now);
   if (renewals.items.empty())
     return;
   const std::string bytes = encode(context_.frame_head(), renewals);
@@ -126,17 +126,17 @@
 
 void DiscoveryService::update_metrics() const {
   std::int64_t up_count = 0;
-  for (const auto& [id, line] : registry_.lines())
-    up_count += line.entry.status == Status::up;
+  for (const auto& [id, leased] : registry_.endpoints())
+    up_count += leased.endpoint.status == Status::up;
   metrics().set(Metric::backends_up, up_count);
-  metrics().set(Metric::evictions, static_cast<std::int64_t>(registry_.evicted()));
+  metrics().set(Metric::evictions, static_cast<std::int64_t>(registry_.eviction_count()));
 }
 
 void DiscoveryService::expire(TimePoint now) {
   if (!is_observing_)
-    return registry_.forget_gone(now, registry_tombstone(settings_));
+    return registry_.erase_tombstones(now, tombstone_duration(settings_));
   const bool was_evicting = registry_.is_evicting();
-  registry_.sweep(now);
+  registry_.run_eviction(now);
   if (was_evicting != registry_.is_evicting())
     LOG(WARNING) << "registry: "
                  << (registry_.is_evicting() ? "evicts again"
@@ -153,7 +153,7 @@
     std::map<std::string, std::string> health_paths;
     for (const Service& service : configuration->services)
       health_paths[service.name] = service.health_path;
-    for (const ProbeTarget& target : registry_.targets())
+    for (const ProbeTarget& target : registry_.probe_targets())
       if (const auto found = health_paths.find(target.service); found != health_paths.end())
         order->targets.push_back({target.id, target.address, found->second, target.is_awaited});
   }
--- a/src/registry/edge_latency_service.cpp
+++ b/src/registry/edge_latency_service.cpp
@@ -114,12 +114,12 @@
 }
 
 void EdgeLatencyService::advance_rollout(TimePoint now) {
-  const VersionRollout::Turn turn = rollout_.advance(environment_.held_edge_views(), now);
-  if (turn == VersionRollout::Turn::none)
+  const VersionRollout::Activation activation = rollout_.advance(environment_.held_edge_views(), now);
+  if (activation == VersionRollout::Activation::none)
     return;
   const std::int64_t count = revision_count(*aggregator_.view());
   LOG(INFO) << "edges: view " << count << " in force, "
-            << (turn == VersionRollout::Turn::held_by_all ? "held by all" : "waited enough");
+            << name_of(activation);
   metrics().set(Metric::edges_revision, count);
   environment_.notify_brokers(now);
 }
--- a/src/registry/endpoint_publisher.cpp
+++ b/src/registry/endpoint_publisher.cpp
@@ -9,7 +9,7 @@
 
 void EndpointPublisher::send_empty_list(const ConnectedBroker& broker, TimePoint now) {
   if (broker.wants_endpoints && broker.endpoints_revision == 0 && registry_.revision() == 0)
-    sender_.send(broker.routing_id, encode(context_.frame_head(), registry_.since(0, now)));
+    sender_.send(broker.routing_id, encode(context_.frame_head(), registry_.changes_since(0, now)));
 }
 
 void EndpointPublisher::tick(TimePoint now) {
@@ -34,7 +34,7 @@
   const bool is_cached =
       last_change_.base == base && last_change_.revision == revision && !last_change_.bytes.empty();
   if (!is_cached)
-    last_change_ = {base, revision, encode(context_.frame_head(), registry_.since(base, now))};
+    last_change_ = {base, revision, encode(context_.frame_head(), registry_.changes_since(base, now))};
   return last_change_.bytes;
 }
 
--- a/src/registry/failover_service.cpp
+++ b/src/registry/failover_service.cpp
@@ -23,7 +23,7 @@
   FailoverOptions options;
   options.backend_heartbeat_interval = settings.backend_heartbeat_interval;
   options.lease = settings.leadership_lease;
-  options.settle = settings.leadership_lease + settings.election + settle_margin;
+  options.takeover_wait = settings.leadership_lease + settings.election + settle_margin;
   return options;
 }
 
@@ -71,12 +71,12 @@
   if (!context_.is_leased(now) || !environment_.configuration() || context_.is_shutting_down())
     return;
   failover_.tick(true, leaderships_, synchronous_replicas(), databases(), now);
-  Failover::Output output = failover_.take();
-  for (const std::string& news : output.news)
-    LOG(INFO) << "leads: " << news;
-  for (const Failover::Order& order : output.orders)
-    send_order(order);
-  for (const Failover::PromotionCall& call : output.raises)
+  Failover::Output output = failover_.take_output();
+  for (const std::string& line : output.log_lines)
+    LOG(INFO) << "leads: " << line;
+  for (const Failover::DatabaseCommand& command : output.commands)
+    send_command(command);
+  for (const Failover::PromotionCall& call : output.promotions)
     send_promotion(call, now);
   if (output.proposal)
     context_.propose_document(leadership_document, encode_leaderships(*output.proposal),
@@ -109,19 +109,19 @@
 
 std::vector<DatabaseEndpoint> FailoverService::databases() const {
   std::vector<DatabaseEndpoint> databases;
-  for (const auto& [id, line] : backends_.lines()) {
-    if (line.entry.phase == Phase::gone)
+  for (const auto& [id, leased] : backends_.endpoints()) {
+    if (leased.endpoint.phase == Phase::gone)
       continue;
-    const bool is_ready = line.entry.phase == Phase::ready;
-    databases.push_back({id, line.entry.service, line.entry.zone, line.entry.is_leader, is_ready,
-                         line.last_heartbeat});
+    const bool is_ready = leased.endpoint.phase == Phase::ready;
+    databases.push_back({id, leased.endpoint.service, leased.endpoint.zone, leased.endpoint.is_leader, is_ready,
+                         leased.last_heartbeat});
   }
   return databases;
 }
 
-void FailoverService::send_order(const Failover::Order& order) {
-  const auto found = backends_.lines().find(order.id);
-  const Endpoint database = found == backends_.lines().end() ? Endpoint{} : found->second.entry;
+void FailoverService::send_command(const Failover::DatabaseCommand& order) {
+  const auto found = backends_.endpoints().find(order.id);
+  const Endpoint database = found == backends_.endpoints().end() ? Endpoint{} : found->second.endpoint;
   DispatchedCommand command;
   command.token = order.token;
   command.service = database.service;
--- a/src/registry/failover_service.h
+++ b/src/registry/failover_service.h
@@ -53,7 +53,7 @@
   // What a database answered to the command `token`; none: nothing.
   void finish_order(std::uint64_t token, const std::optional<DatabaseStatus>& status,
                     TimePoint now) {
-    failover_.finish_order(token, status, now);
+    failover_.finish_command(token, status, now);
   }
   // The platform's HTTP status for the promotion `token`; 0: no answer.
   void finish_promotion(std::uint64_t token, int status, TimePoint now) {
@@ -80,7 +80,7 @@
   void record_samples(const SubscribeRequest& request, TimePoint echoed_at);
   std::map<std::string, int> synchronous_replicas() const;
   std::vector<DatabaseEndpoint> databases() const;
-  void send_order(const Failover::Order& order);
+  void send_command(const Failover::DatabaseCommand& order);
   void send_promotion(const Failover::PromotionCall& call, TimePoint now);
 
   const bool is_enabled_;
--- a/src/registry/peer_replication.cpp
+++ b/src/registry/peer_replication.cpp
@@ -42,7 +42,7 @@
     peer.received_revision = endpoints.revision;
     peer.has_gap = peer.has_gap && !endpoints.is_complete;
   }
-  registry_.take(endpoints, now);
+  registry_.apply_replica(endpoints, now);
 }
 
 void PeerReplication::forget_disconnected() {
@@ -89,7 +89,7 @@
 // Everything, or what changed since the last list.
 EndpointList PeerReplication::take_list(Peer& peer, bool is_observing, TimePoint now) const {
   const bool is_complete = now >= peer.full_sync_due;
-  EndpointList endpoints = registry_.since(is_complete ? 0 : peer.sent_revision, now);
+  EndpointList endpoints = registry_.changes_since(is_complete ? 0 : peer.sent_revision, now);
   endpoints.is_observed = is_observing;
   endpoints.zone = own_zone_;
   endpoints.wants_whole = peer.has_gap;
--- a/src/registry/ring_service.cpp
+++ b/src/registry/ring_service.cpp
@@ -66,8 +66,8 @@
   return request;
 }
 
-bool is_serving(const EndpointTable::Line& line) {
-  return line.entry.phase == Phase::ready && line.entry.status == Status::up;
+bool is_serving(const LeasedEndpoint& leased) {
+  return leased.endpoint.phase == Phase::ready && leased.endpoint.status == Status::up;
 }
 
 }  // namespace
@@ -188,17 +188,17 @@
 
 std::set<std::string> RingService::serving_services() const {
   std::set<std::string> services;
-  for (const auto& [id, line] : backends_.lines())
-    if (is_serving(line))
-      services.insert(line.entry.service);
+  for (const auto& [id, leased] : backends_.endpoints())
+    if (is_serving(leased))
+      services.insert(leased.endpoint.service);
   return services;
 }
 
 // An empty endpoint if the service has no backend that is ready and UP.
 Endpoint RingService::find_serving(const std::string& service) const {
-  for (const auto& [id, line] : backends_.lines())
-    if (line.entry.service == service && is_serving(line))
-      return line.entry;
+  for (const auto& [id, leased] : backends_.endpoints())
+    if (leased.endpoint.service == service && is_serving(leased))
+      return leased.endpoint;
   return {};
 }
 
@@ -212,7 +212,7 @@
   if (context_.is_shutting_down())
     return;
   LeaseTable& leases = migration_.leases();
-  leases.note(from.from, from.incarnation, request.ring_revision, now);
+  leases.record(from.from, from.incarnation, request.ring_revision, now);
   heartbeat.lease =
       static_cast<std::uint64_t>(leases.grant(from.from, from.incarnation, now).count());
   record_load(from, request, now);
--- a/tests/registry/configuration_service_test.cpp
+++ b/tests/registry/configuration_service_test.cpp
@@ -94,7 +94,7 @@
   fixture.put(41, 3, start);
   fixture.service.route_calls(start);
   const std::uint64_t token = fixture.environment.proposals.at(0).token;
-  fixture.service.handle_result({token, RaftNode::Verdict::failed, nullptr});
+  fixture.service.handle_result({token, RaftNode::Outcome::failed, nullptr});
   fixture.service.route_calls(start + operator_call_timeout);
   cr_expect(fixture.environment.proposals.size() == 2 && fixture.environment.replies.empty());
   fixture.service.route_calls(start + operator_call_timeout + 1ms);
@@ -134,7 +134,7 @@
   auto state = std::make_shared<Entry>();
   state->body = "read";
   fixture.service.handle_result(
-      {fixture.environment.reads[0], RaftNode::Verdict::done, std::move(state)});
+      {fixture.environment.reads[0], RaftNode::Outcome::done, std::move(state)});
   cr_assert(fixture.peers.sent.size() == 1 && fixture.environment.replies.empty());
   cr_expect(fixture.peers.sent[0].address == follower_head.from);
   const auto reply = decode_body<ForwardedReply>(fixture.peers.sent[0].bytes);
--- a/tests/registry/discovery_service_test.cpp
+++ b/tests/registry/discovery_service_test.cpp
@@ -94,11 +94,11 @@
 Test(discovery_service, a_listing_is_ignored_unless_this_registry_observes) {
   Fixture fixture;
   fixture.service.handle_listing({backend("i-1")}, start);
-  cr_expect(fixture.service.registry().lines().empty());
+  cr_expect(fixture.service.registry().endpoints().empty());
   fixture.context.lead(Term{2}, TimePoint::max());
   fixture.service.tick(start);
   fixture.service.handle_listing({backend("i-1")}, start);
-  cr_expect(fixture.service.registry().lines().contains("i-1"));
+  cr_expect(fixture.service.registry().endpoints().contains("i-1"));
 }
 
 Test(discovery_service, a_cancel_is_refused_without_a_quorum) {
