--- a/src/state/leadership_table.cpp
+++ b/src/state/leadership_table.cpp
@@ -39,7 +39,7 @@
   if ((phase & phase_mask) > static_cast<std::uint64_t>(last_phase))
     return false;
   leadership.phase = static_cast<Phase>(phase & phase_mask);
-  leadership.is_planned = phase & planned_flag;
+  leadership.is_planned = (phase & planned_flag) != 0;
   leadership.number = reader.number();
   leadership.revision = reader.number();
   return true;
