--- a/src/state/configuration_reader.cpp
+++ b/src/state/configuration_reader.cpp
@@ -283,9 +283,10 @@
       return JsonFields{root_, "", fault_}.fail("limits is not an object");
     const JsonFields fields{root_["limits"], "limits.", fault_};
     Limits& limits = configuration_.limits;
-    limits.max_header_bytes =
-        fields.integer("most_header_bytes", 256, 1 << 24, limits.max_header_bytes);
-    limits.max_body_bytes = fields.integer("most_body_bytes", 0, 1 << 28, limits.max_body_bytes);
+    limits.max_header_bytes = fields.integer("most_header_bytes", 256, 1 << 24,
+                                             static_cast<std::int64_t>(limits.max_header_bytes));
+    limits.max_body_bytes = fields.integer("most_body_bytes", 0, 1 << 28,
+                                           static_cast<std::int64_t>(limits.max_body_bytes));
     limits.header_wait = fields.milliseconds("header_wait_ms", limits.header_wait);
     limits.change_rest = fields.milliseconds("change_rest_ms", limits.change_rest);
     limits.quiet = fields.milliseconds("quiet_ms", limits.quiet);
--- a/src/state/ring_file.cpp
+++ b/src/state/ring_file.cpp
@@ -143,7 +143,8 @@
         return make_error(ErrorCode::invalid, position + " is not a map");
       const YAML::Node name = value["name"];
       const std::string shown = name && name.IsScalar() ? name.Scalar() : "";
-      const YamlFields fields{value, position + " " + shown + ": ", fault_};
+      const YamlFields fields{value, std::string(position).append(" ").append(shown).append(": "),
+                              fault_};
       RingNode node = read_node(fields);
       if (!names.insert(node.name).second)
         fields.fail("name appears twice");
@@ -210,7 +211,7 @@
     for (VirtualNode virtual_node = 0; virtual_node < virtual_nodes_; ++virtual_node) {
       const std::uint64_t point = ring_digest("virtual node " + std::to_string(virtual_node));
       ring_.owners.push_back(choose_owner(ring_.nodes, virtual_node));
-      ring_.points.push_back({point, virtual_node});
+      ring_.points.emplace_back(point, virtual_node);
     }
     std::sort(ring_.points.begin(), ring_.points.end());
   }
