--- a/src/control_client/control_plane_client.cpp
+++ b/src/control_client/control_plane_client.cpp
@@ -56,6 +56,7 @@
 void ControlPlaneClient::take_seeds() {
   for (const std::vector<Address>& contacts : seeds_.take()) {
     std::vector<std::string> seeds;
+    seeds.reserve(contacts.size());
     for (const Address& contact : contacts)
       seeds.push_back(Address{contact.host, settings_.inner_port}.text());
     control_source_.set_seeds(std::move(seeds), Clock::now());
