--- a/src/coordination/placement/ring_load_monitor.cpp
+++ b/src/coordination/placement/ring_load_monitor.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 #include <cmath>
-#include <cstdio>
-#include <numeric>
+#include <utility>
 
+#include "coordination/placement/move_planner.h"
 #include "state/bytes.h"
 
 namespace saddlewing {
@@ -12,11 +12,8 @@
 
 constexpr std::size_t max_told = 512, max_accounts_told = 32;
 
-std::string percent(double share) {
-  char text[32];
-  std::snprintf(text, sizeof text, "%.0f %%", share * 100);
-  return text;
-}
+// Standard deviations of a node's count of attempts that count as chance.
+constexpr double chance_factor = 3;
 
 }  // namespace
 
@@ -176,156 +173,102 @@
   return ring.size_of(unit).second * distance / pace;
 }
 
-RingReport RingLoadMonitor::report(const RingMap& ring, const std::vector<RingLoad>& loads,
-                                   const std::vector<std::pair<std::string, RingLoad>>& accounts) {
-  RingReport report;
-  report.virtual_nodes = loads;
-  report.accounts = accounts;
-  const std::size_t count = ring.nodes.size();
-  std::vector<double> busy(count);
-  double weights = 0;
-  double sum = 0;
-  double attempts = 0;
-  for (const RingNode& node : ring.nodes) {
-    report.nodes.push_back({node.name, {}, 0, 0, 0, false});
-    weights += node.weight;
-  }
+namespace {
+
+using AccountLoad = std::pair<std::string, RingLoad>;
+
+// Adds up what virtual nodes bring to their owners.
+void add_virtual_nodes(const RingMap& ring, const std::vector<RingLoad>& loads, RingReport& report,
+                       RingBalance& balance) {
   for (VirtualNode virtual_node = 0; virtual_node < ring.owners.size(); ++virtual_node) {
-    NodeReport& node = report.nodes[ring.owners[virtual_node]];
-    node.load += loads[virtual_node];
-    const auto [memory, disk] = ring.size_of(virtual_node);
-    node.memory_mb += memory;
-    node.disk_mb += disk;
-    busy[ring.owners[virtual_node]] += loads[virtual_node].busy_ms;
-    sum += loads[virtual_node].busy_ms;
-    attempts += loads[virtual_node].attempts;
+    const std::uint32_t owner = ring.owners[virtual_node];
+    const RingLoad& load = loads[virtual_node];
+    const auto [memory_mb, disk_mb] = ring.size_of(virtual_node);
+    NodeReport& node = report.nodes[owner];
+    node.load += load;
+    node.memory_mb += memory_mb;
+    node.disk_mb += disk_mb;
+    balance.busy_ms[owner] += load.busy_ms;
+    balance.total_busy_ms += load.busy_ms;
+    balance.total_attempts += load.attempts;
   }
+}
+
+// Adds up what accounts in the placement table bring to their owners. The load of every other
+// account is part of its virtual node's.
+void add_placed_accounts(const RingMap& ring, const std::vector<AccountLoad>& accounts,
+                         RingReport& report, RingBalance& balance) {
   for (const auto& [account, owner] : ring.placed) {
-    const auto [memory, disk] = ring.size_of(RingUnit{0, account});
-    report.nodes[owner].memory_mb += memory;
-    report.nodes[owner].disk_mb += disk;
+    const auto [memory_mb, disk_mb] = ring.size_of(RingUnit{0, account});
+    report.nodes[owner].memory_mb += memory_mb;
+    report.nodes[owner].disk_mb += disk_mb;
   }
-  // Who could move, with its load. An account that the ring places is part of its virtual node's
-  // load, one placed by the table is not.
-  struct Candidate {
-    RingUnit unit;
-    std::uint32_t owner;
-    RingLoad load;
-    bool is_taken = false;
-  };
-  std::vector<Candidate> candidates;
-  for (VirtualNode virtual_node = 0; virtual_node < ring.owners.size(); ++virtual_node)
-    candidates.push_back(
-        {RingUnit{virtual_node, {}}, ring.owners[virtual_node], loads[virtual_node]});
   for (const auto& [account, load] : accounts) {
-    const std::uint32_t owner = ring.owner_of(account);
-    candidates.push_back({RingUnit{ring.find(account), account}, owner, load});
     if (!ring.placed.contains(account))
       continue;
+    const std::uint32_t owner = ring.owner_of(account);
     report.nodes[owner].load += load;
-    busy[owner] += load.busy_ms;
-    sum += load.busy_ms;
-    attempts += load.attempts;
+    balance.busy_ms[owner] += load.busy_ms;
+    balance.total_busy_ms += load.busy_ms;
+    balance.total_attempts += load.attempts;
   }
-  const auto share_of = [&](std::size_t index) {
-    return sum > 0 ? busy[index] / (sum * ring.nodes[index].weight / weights) : 0;
-  };
-  for (std::size_t index = 0; index < count; ++index)
-    report.nodes[index].share = share_of(index);
-  report.is_enough = attempts >= options_.min_attempts;
-  if (!report.is_enough) {
-    report.remarks.emplace_back("too few askings to judge by");
-    return report;
+}
+
+RingBalance add_up(const RingMap& ring, RingReport& report) {
+  RingBalance balance;
+  balance.busy_ms.resize(ring.nodes.size());
+  for (const RingNode& node : ring.nodes) {
+    report.nodes.push_back({node.name, {}, 0, 0, 0, false});
+    balance.total_weight += node.weight;
   }
-  // Above the bound by more than chance explains; and until it is well under it again.
+  add_virtual_nodes(ring, report.virtual_nodes, report, balance);
+  add_placed_accounts(ring, report.accounts, report, balance);
+  for (std::size_t index = 0; index < report.nodes.size(); ++index)
+    report.nodes[index].share = balance.share_of(ring, index);
+  return balance;
+}
+
+std::vector<MoveCandidate> list_candidates(const RingMap& ring, const RingReport& report) {
+  std::vector<MoveCandidate> candidates;
+  for (VirtualNode virtual_node = 0; virtual_node < ring.owners.size(); ++virtual_node)
+    candidates.push_back({RingUnit{virtual_node, {}}, ring.owners[virtual_node],
+                          report.virtual_nodes[virtual_node]});
+  for (const auto& [account, load] : report.accounts)
+    candidates.push_back({RingUnit{ring.find(account), account}, ring.owner_of(account), load});
+  return candidates;
+}
+
+}  // namespace
+
+// A node becomes overloaded above the bound by more than chance explains, and stays so until it is
+// well under it again.
+void RingLoadMonitor::mark_overloaded(std::vector<NodeReport>& nodes) {
   std::vector<std::string> over;
-  for (std::size_t index = 0; index < count; ++index) {
-    NodeReport& node = report.nodes[index];
-    const double chance = 3 / std::sqrt(std::max(1.0, node.load.attempts));
+  for (NodeReport& node : nodes) {
+    const double chance = chance_factor / std::sqrt(std::max(1.0, node.load.attempts));
     const bool was_over = std::find(over_.begin(), over_.end(), node.name) != over_.end();
     node.is_over = node.share > (was_over ? options_.settled : options_.over + chance);
     if (node.is_over)
       over.push_back(node.name);
   }
-  over_ = over;
+  over_ = std::move(over);
+}
 
-  std::vector<double> memory(count);
-  std::vector<double> disk(count);
-  for (std::size_t index = 0; index < count; ++index)
-    memory[index] = report.nodes[index].memory_mb, disk[index] = report.nodes[index].disk_mb;
-  for (;;) {
-    std::size_t from = count;
-    for (std::size_t index = 0; index < count; ++index)
-      if (report.nodes[index].is_over && share_of(index) > options_.settled &&
-          (from == count || share_of(index) > share_of(from)))
-        from = index;
-    if (from == count)
-      break;
-    if (report.proposals.size() >= options_.max_proposals) {
-      report.remarks.push_back(ring.nodes[from].name + " stays at " + percent(share_of(from)) +
-                               ": as many moves as are proposed at once");
-      break;
-    }
-    // The move that takes most off for what it costs; never so that the receiver would carry too
-    // much in turn.
-    double best_worth = 0;
-    Candidate* best = nullptr;
-    std::size_t best_to = count;
-    bool has_load = false;
-    bool has_room = false;
-    for (Candidate& candidate : candidates) {
-      if (candidate.owner != from || candidate.is_taken || candidate.load.busy_ms <= 0)
-        continue;
-      has_load = true;
-      const auto [needs_memory, needs_disk] = ring.size_of(candidate.unit);
-      for (std::size_t to = 0; to < count; ++to) {
-        if (to == from || memory[to] + needs_memory > ring.nodes[to].memory_mb ||
-            disk[to] + needs_disk > ring.nodes[to].disk_mb)
-          continue;
-        has_room = true;
-        const double unit = sum / weights;
-        const double after_to =
-            (busy[to] + candidate.load.busy_ms) / (unit * ring.nodes[to].weight);
-        const double after_from =
-            (busy[from] - candidate.load.busy_ms) / (unit * ring.nodes[from].weight);
-        if (after_to > options_.settled || after_from < 2 - options_.over)
-          continue;
-        const double worth = candidate.load.busy_ms / unit /
-                             (0.2 + move_cost(ring, candidate.unit, from, to, options_)) *
-                             (2 - after_to);
-        if (worth > best_worth)
-          best_worth = worth, best = &candidate, best_to = to;
-      }
-    }
-    if (best_to == count) {
-      report.remarks.push_back(ring.nodes[from].name + " stays at " + percent(share_of(from)) +
-                               ": " +
-                               (!has_load   ? "nothing of it can be taken away"
-                                : !has_room ? "no node has memory and disk for it"
-                                            : "every move would make another node carry too much"));
-      break;
-    }
-    MoveProposal proposal;
-    proposal.unit = best->unit;
-    proposal.from = ring.nodes[from].name;
-    proposal.to = ring.nodes[best_to].name;
-    proposal.load = best->load;
-    std::tie(proposal.memory_mb, proposal.disk_mb) = ring.size_of(best->unit);
-    proposal.cost = move_cost(ring, best->unit, from, best_to, options_);
-    busy[from] -= best->load.busy_ms;
-    busy[best_to] += best->load.busy_ms;
-    memory[from] -= proposal.memory_mb, memory[best_to] += proposal.memory_mb;
-    disk[from] -= proposal.disk_mb, disk[best_to] += proposal.disk_mb;
-    best->is_taken = true;
-    // One and the same load moves once: not an account and its virtual node both.
-    for (Candidate& other : candidates)
-      if (other.unit.virtual_node == best->unit.virtual_node && other.owner == from &&
-          !ring.placed.contains(other.unit.account) && !ring.placed.contains(best->unit.account))
-        other.is_taken = true;
-    proposal.share_from = share_of(from);
-    proposal.share_to = share_of(best_to);
-    report.proposals.push_back(std::move(proposal));
+RingReport RingLoadMonitor::report(const RingMap& ring, const std::vector<RingLoad>& loads,
+                                   const std::vector<std::pair<std::string, RingLoad>>& accounts) {
+  RingReport report;
+  report.virtual_nodes = loads;
+  report.accounts = accounts;
+  RingBalance balance = add_up(ring, report);
+  report.is_enough = balance.total_attempts >= options_.min_attempts;
+  if (!report.is_enough) {
+    report.remarks.emplace_back("too few askings to judge by");
+    return report;
   }
+  mark_overloaded(report.nodes);
+  MovePlanner planner(ring, options_, std::move(balance), list_candidates(ring, report),
+                      report.nodes);
+  planner.plan(report);
   if (report.proposals.empty() && report.is_balanced())
     report.remarks.emplace_back("no node carries too much");
   return report;
--- a/src/coordination/placement/ring_load_monitor.h
+++ b/src/coordination/placement/ring_load_monitor.h
@@ -104,8 +104,10 @@
                     const std::vector<std::pair<std::string, RingLoad>>& accounts = {});
 
  private:
+  void mark_overloaded(std::vector<NodeReport>& nodes);
+
   WatchOptions options_;
-  std::vector<std::string> over_;
+  std::vector<std::string> over_;  // names of the nodes that the last report found overloaded
 };
 
 // Reads an operator's file and checks it against the configuration: the ring never sends where no
