--- a/src/coordination/placement/shard_migration.h
+++ b/src/coordination/placement/shard_migration.h
@@ -14,45 +14,13 @@
 
 #include "coordination/leases/lease_table.h"
 #include "coordination/placement/ring_load_monitor.h"
+#include "coordination/placement/ring_move.h"
 
 namespace saddlewing {
 
 inline constexpr int node_interface =
     2;  // of the calls that nodes of the ring are asked, see docs/design/ring.md
 
-struct RingMove {
-  // The numbers travel and lie on disk: new ones come last.
-  enum class Step : std::uint64_t {
-    planned,
-    copying,
-    closing,
-    switched,
-    settled,
-    undone,
-    opened
-  };
-  std::uint64_t id = 0;
-  RingUnit unit;
-  std::string from, to;
-  Step step = Step::planned;
-  std::uint64_t revision = 0;  // of the sheet that brought the step
-  double benefit = 0;          // of those planned the greatest goes first
-  bool is_open() const {
-    return step != Step::settled && step != Step::undone;
-  }
-  // Both ends are at work on it, so neither takes part in another.
-  bool is_busy() const {
-    return step == Step::copying || step == Step::closing || step == Step::switched;
-  }
-  // Writes of the unit wait.
-  bool is_closed() const {
-    return step == Step::closing || step == Step::switched;
-  }
-};
-const char* name_of(RingMove::Step step);
-std::string encode_moves(const std::vector<RingMove>& moves);
-bool decode_moves(const std::string& bytes, std::vector<RingMove>& moves);
-
 struct MoveOptions {
   Duration lease{3000}, settle{4000};
   Duration ask_again{400};
