--- a/src/coordination/placement/ring_load_monitor.cpp
+++ b/src/coordination/placement/ring_load_monitor.cpp
@@ -10,7 +10,9 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::size_t max_told = 512, max_accounts_told = 32;
+constexpr std::size_t max_told = 512;          // virtual nodes in one report of a broker
+constexpr std::size_t max_accounts_told = 32;  // accounts in one report of a broker
+constexpr VirtualNode max_virtual_nodes = 65536;
 
 // Standard deviations of a node's count of attempts that count as chance.
 constexpr double chance_factor = 3;
@@ -45,7 +47,7 @@
 }
 
 void RingLoads::add(VirtualNode virtual_node, const RingLoad& load, TimePoint now) {
-  if (virtual_node >= 65536)
+  if (virtual_node >= max_virtual_nodes)
     return;
   if (rows_.size() <= virtual_node)
     rows_.resize(virtual_node + 1);
--- a/src/coordination/placement/ring_router.h
+++ b/src/coordination/placement/ring_router.h
@@ -1,6 +1,7 @@
 #pragma once
-// A broker's side of the ring: which node a key goes to, when a write must wait, and who shows a
-// unit on the move. Pure.
+// A broker's side of the hash ring: which node owns a key, when a write must wait, and which node
+// shows a moving unit to reads. Pure: does not send requests and knows no clock but the time passed
+// in. A RingView is immutable and may be shared by threads; a RingRouter belongs to one thread.
 #include <map>
 #include <memory>
 #include <set>
@@ -9,20 +10,20 @@
 
 namespace saddlewing {
 
-// The ring of one moment. Immutable, swapped whole.
+// The ring at one revision of its document. Immutable: a newer one replaces it as a whole.
 struct RingView {
-  std::uint64_t revision = 0;
+  std::uint64_t revision = 0;  // of the ring document
   RingMap map;
-  std::set<RingUnit> closing;  // their writes wait
-  // By an index into the map's nodes: what a node is told of the one unit that it gives or
-  // receives.
+  std::set<RingUnit> closing;  // units whose writes must wait
+  // What a node is told about the one unit that it gives or receives, by index into the map's
+  // nodes.
   struct Telling {
     RingUnit unit;
-    bool is_shown = false;  // by this node to requests of this view
+    bool is_shown = false;  // this node shows the unit to requests sent by this view
   };
   std::map<std::size_t, Telling> tellings;
 
-  // Units that a key belongs to and that close it to writes.
+  // True if writes to the key must wait, because its account or its virtual node is closing.
   bool is_closed(std::string_view key) const {
     if (closing.empty())
       return false;
@@ -32,7 +33,8 @@
   }
 };
 using RingSnapshot = std::shared_ptr<const RingView>;
-// Null if the sheet is not readable.
+
+// The view of a ring document; null if the document is malformed.
 inline RingSnapshot view_ring(const RingDocument& document) {
   auto view = std::make_shared<RingView>();
   std::vector<RingMove> moves;
@@ -51,37 +53,43 @@
   return view;
 }
 
-// Invariant: nothing goes to a node but by the newest view, under a lease; a write never while its
-// unit is closing. A view is confirmed only when no write is under way that it would not have sent
-// there.
+// Decides whether a broker may send a request now, and tracks its writes in flight.
+//
+// Invariants: requests are sent only under a lease and by the newest view known; a write is not
+// sent while its unit is closing. A view counts as confirmed only when every write in flight is one
+// that this view would have sent to the same node.
 class RingRouter {
  public:
   enum class Way {
-    pass,
-    wait,
-    come_back
+    pass,      // send it now
+    wait,      // hold it until the unit is open again
+    come_back  // the client must retry: this broker has no lease
   };
+
+  // Replaces the view if this one is newer; null is ignored.
   void take(RingSnapshot view) {
     if (view && (!view_ || view->revision > view_->revision))
       view_ = std::move(view);
   }
+  // Extends the lease; never shortens it.
   void set_lease(TimePoint until) {
     lease_until_ = std::max(lease_until_, until);
   }
   bool is_leased(TimePoint now) const {
     return now < lease_until_;
   }
+  // Null until the first view is taken.
   const RingSnapshot& view() const {
     return view_;
   }
-  // A broker that was not heard may act by a view that others left long ago: then not even reads
-  // are right.
+  // Without a lease the view may be outdated, so even reads (`is_harmless`) are refused. A view
+  // must have been taken.
   Way decide(std::string_view key, bool is_harmless, TimePoint now) const {
     if (!is_leased(now))
       return Way::come_back;
     return is_harmless || !view_->is_closed(key) ? Way::pass : Way::wait;
   }
-  // Of writes alone.
+  // Track a write in flight to its owner, an index into the map's nodes. Reads are not tracked.
   void start(const std::string& key, std::uint32_t owner) {
     ++at_work_[{key, owner}];
   }
@@ -90,6 +98,7 @@
     if (found != at_work_.end() && --found->second == 0)
       at_work_.erase(found);
   }
+  // Revision of the newest view that no write in flight contradicts; 0 before the first.
   std::uint64_t confirmed() {
     if (!view_)
       return 0;
@@ -103,7 +112,8 @@
   RingSnapshot view_;
   TimePoint lease_until_{};
   std::uint64_t confirmed_ = 0;
-  std::map<std::pair<std::string, std::uint32_t>, int> at_work_;  // by key and owner
+  std::map<std::pair<std::string, std::uint32_t>, int>
+      at_work_;  // writes in flight, by key and owner
 };
 
 }  // namespace saddlewing
--- a/src/coordination/placement/shard_migration.cpp
+++ b/src/coordination/placement/shard_migration.cpp
@@ -188,10 +188,15 @@
   Work& work = works_[move.id];
   if (work.is_fresh || work.revision != move.revision) {
     Work fresh;
-    fresh.revision = move.revision, fresh.since = now, fresh.share = work.share,
-    fresh.position = work.position, fresh.is_fresh = false;
-    if (!move.is_open())
-      fresh.why = work.why, fresh.is_ended = true;
+    fresh.revision = move.revision;
+    fresh.since = now;
+    fresh.share = work.share;
+    fresh.position = work.position;
+    fresh.is_fresh = false;
+    if (!move.is_open()) {
+      fresh.why = work.why;
+      fresh.is_ended = true;
+    }
     work = std::move(fresh);
   }
   using Step = RingMove::Step;
--- a/tests/coordination/placement/scenario_world.h
+++ b/tests/coordination/placement/scenario_world.h
@@ -31,7 +31,7 @@
     late
   };  // of one message
 
-  // Options of an evening, set before it runs.
+  // Options of a scenario, set before it runs.
   Duration length{16000};
   std::vector<std::pair<std::string, std::string>> moves_wanted = {  // unit and receiver
       {"camper-0", "quick-2"},
@@ -88,7 +88,8 @@
     for (std::size_t position = 0; position < 4; ++position) {
       ShardNode& node = nodes.emplace_back();
       node.name = ring.nodes[position].name;
-      node.disk_mb_s = disks[position], node.way_ms = ways[position],
+      node.disk_mb_s = disks[position];
+      node.way_ms = ways[position];
       node.work_times = works[position];
       node.ring = ring;
       free_[position].fill(dawn);
@@ -115,8 +116,10 @@
   std::size_t node_of(const std::string& name) const {
     return ring.index_of(name);
   }
+  // The next number of a generator with a fixed seed.
   unsigned draw() {
-    return state_ = state_ * 1664525u + 1013904223u, state_ >> 8;
+    state_ = state_ * 1664525u + 1013904223u;
+    return state_ >> 8;
   }
   std::vector<std::string> accounts;
 
--- a/tests/coordination/placement/shard_migration_scenario.h
+++ b/tests/coordination/placement/shard_migration_scenario.h
@@ -1,7 +1,7 @@
 #pragma once
-// A busy evening on mixed shard nodes, replayed with a clock of its own: typeahead, lookups, desk
-// checks, holds and tickets, floods of full histories, and moves of virtual nodes and of accounts,
-// with whoever takes part killed or cut off.
+// Simulates a busy time on mixed shard nodes with a clock of its own: short lookups, gathers,
+// writes and heavy reads, while virtual nodes and accounts move and a participant is killed or cut
+// off. Deterministic and single-threaded.
 #include <criterion/criterion.h>
 
 #include <algorithm>
@@ -138,10 +138,12 @@
         broker.gate.finish(request.account, static_cast<std::uint32_t>(flight.legs[0].node));
       if (std::any_of(flight.legs.begin(), flight.legs.end(),
                       [](const Flight::Leg& leg) { return leg.is_turned_away; })) {
-        if (broker.gate.view()->revision > flight.view->revision && now < request.until)
-          ++restarts, send(broker, request);
-        else
+        if (broker.gate.view()->revision > flight.view->revision && now < request.until) {
+          ++restarts;
+          send(broker, request);
+        } else {
           come_back(request);
+        }
         continue;
       }
       if (request.ask == Ask::write)
@@ -171,7 +173,8 @@
   }
   void run_cluster_status() {
     moves->tick(true, document, ring, late_ <= 0.02 * std::max(50.0, lookups_) || !is_pausing, now);
-    lookups_ *= 0.8, late_ *= 0.8;
+    lookups_ *= 0.8;
+    late_ *= 0.8;
     ShardMigration::Output output = moves->take();
     for (const auto& one : output.orders) {
       const Fate met = meet();
--- a/tests/coordination/placement/shard_migration_test.cpp
+++ b/tests/coordination/placement/shard_migration_test.cpp
@@ -1,4 +1,4 @@
-// Evenings with moves of virtual nodes and of accounts, beside heavy pulls; see evening.h.
+// Moves of virtual nodes and accounts beside heavy reads; see shard_migration_scenario.h.
 #include "coordination/placement/shard_migration_scenario.h"
 
 #include <cstdio>
@@ -73,7 +73,8 @@
        "slow"}};  // whatever the machines are, as fast as it goes, without a pause
   naive.options.pace_share = 1;
   naive.is_pausing = false;
-  moved.run(), naive.run();
+  moved.run();
+  naive.run();
   show("a virtual node moves", moved);
   show("naively", naive);
   cr_expect(moved.are_settled(1) && moved.recorder.wrongs() == 0, "%s",
