--- a/src/coordination/placement/shard_migration.cpp
+++ b/src/coordination/placement/shard_migration.cpp
@@ -20,6 +20,31 @@
   return std::pair(-one.benefit, one.id) < std::pair(-other.benefit, other.id);
 }
 
+bool has_ended(const RingMove& move) {
+  return !move.is_open();
+}
+
+// Keeps the latest `max_ended` of the moves that have ended.
+void forget_oldest_ended(std::vector<RingMove>& moves) {
+  while (static_cast<std::size_t>(std::count_if(moves.begin(), moves.end(), has_ended)) > max_ended)
+    moves.erase(std::find_if(moves.begin(), moves.end(), has_ended));
+}
+
+// Gives the units of the moves that switch with this document to their receivers.
+void assign_switched(const std::vector<RingMove>& moves, const RingMap& ring,
+                     RingDocument& document) {
+  for (const RingMove& move : moves) {
+    if (move.step != RingMove::Step::switched || move.revision != document.revision)
+      continue;
+    if (!move.unit.is_account())
+      document.moved[move.unit.virtual_node] = move.to;
+    else if (ring.nodes[ring.owners[move.unit.virtual_node]].name == move.to)
+      document.placed.erase(move.unit.account);  // the ring has it there anyway
+    else
+      document.placed[move.unit.account] = move.to;
+  }
+}
+
 }  // namespace
 
 // What the taker has and what other open moves will bring it must leave room.
@@ -296,27 +321,14 @@
   }
   if (!has_changed_)
     return;
-  while (static_cast<std::size_t>(std::count_if(
-             moves_.begin(), moves_.end(), [](const RingMove& move) { return !move.is_open(); })) >
-         max_ended)
-    moves_.erase(std::find_if(moves_.begin(), moves_.end(),
-                              [](const RingMove& move) { return !move.is_open(); }));
+  forget_oldest_ended(moves_);
   std::erase_if(works_, [&](const auto& work) {
     return std::none_of(moves_.begin(), moves_.end(),
                         [&](const RingMove& move) { return move.id == work.first; });
   });
   RingDocument next = document;
   next.revision = revision_ + 1;
-  for (const RingMove& move : moves_) {
-    if (move.step != RingMove::Step::switched || move.revision != next.revision)
-      continue;
-    if (!move.unit.is_account())
-      next.moved[move.unit.virtual_node] = move.to;
-    else if (ring.nodes[ring.owners[move.unit.virtual_node]].name == move.to)
-      next.placed.erase(move.unit.account);  // where the ring has it
-    else
-      next.placed[move.unit.account] = move.to;
-  }
+  assign_switched(moves_, ring, next);
   next.moves = encode_moves(moves_);
   is_proposing_ = true;
   output_.proposal = std::move(next);
