--- a/src/broker/broker_loop.cpp
+++ b/src/broker/broker_loop.cpp
@@ -65,7 +65,7 @@
     return {};
   std::string fields =
       std::string(field::ring_revision) + ": " + std::to_string(view.revision) + "\r\n";
-  if (const auto told = view.tellings.find(index); told != view.tellings.end())
+  if (const auto told = view.unit_visibilities.find(index); told != view.unit_visibilities.end())
     fields += std::string(told->second.is_shown ? field::ring_show : field::ring_hide) + ": " +
               told->second.unit.text() + "\r\n";
   return fields;
--- a/src/broker/broker_ring.cpp
+++ b/src/broker/broker_ring.cpp
@@ -62,7 +62,7 @@
   context.is_risky = !route.is_harmless;
   context.began = now;
   context.target = route.target;
-  if (gate_.decide(key, route.is_harmless, now) == RingRouter::Way::pass) {
+  if (gate_.decide(key, route.is_harmless, now) == RingRouter::Decision::pass) {
     if (context.is_risky)
       gate_.start(context.position->key, owner);
     return true;
--- a/src/coordination/placement/ring_load_monitor.cpp
+++ b/src/coordination/placement/ring_load_monitor.cpp
@@ -10,8 +10,8 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::size_t max_told = 512;          // virtual nodes in one report of a broker
-constexpr std::size_t max_accounts_told = 32;  // accounts in one report of a broker
+constexpr std::size_t max_reported_loads = 512;    // virtual nodes in one report of a broker
+constexpr std::size_t max_reported_accounts = 32;  // accounts in one report of a broker
 constexpr VirtualNode max_virtual_nodes = 65536;
 
 // Standard deviations of a node's count of attempts that count as chance.
@@ -70,7 +70,7 @@
 
 std::string encode_loads(const std::vector<std::pair<VirtualNode, RingLoad>>& loads) {
   Writer writer;
-  std::size_t left = max_told;
+  std::size_t left = max_reported_loads;
   for (const auto& [virtual_node, load] : loads) {
     if (left-- == 0)
       break;
@@ -130,7 +130,7 @@
 
 std::string encode_account_loads(const std::vector<std::pair<std::string, RingLoad>>& loads) {
   Writer writer;
-  std::size_t left = max_accounts_told;
+  std::size_t left = max_reported_accounts;
   for (const auto& [account, load] : loads) {
     if (left-- == 0)
       break;
--- a/src/coordination/placement/ring_router.h
+++ b/src/coordination/placement/ring_router.h
@@ -17,11 +17,11 @@
   std::set<RingUnit> closing;  // units whose writes must wait
   // What a node is told about the one unit that it gives or receives, by index into the map's
   // nodes.
-  struct Telling {
+  struct UnitVisibility {
     RingUnit unit;
     bool is_shown = false;  // this node shows the unit to requests sent by this view
   };
-  std::map<std::size_t, Telling> tellings;
+  std::map<std::size_t, UnitVisibility> unit_visibilities;
 
   // True if writes to the key must wait, because its account or its virtual node is closing.
   bool is_closed(std::string_view key) const {
@@ -47,8 +47,8 @@
     if (!move.is_busy())
       continue;
     const bool has_switched = move.step == RingMove::Step::switched;
-    view->tellings[view->map.index_of(move.from)] = {move.unit, !has_switched};
-    view->tellings[view->map.index_of(move.to)] = {move.unit, has_switched};
+    view->unit_visibilities[view->map.index_of(move.from)] = {move.unit, !has_switched};
+    view->unit_visibilities[view->map.index_of(move.to)] = {move.unit, has_switched};
   }
   return view;
 }
@@ -60,7 +60,7 @@
 // that this view would have sent to the same node.
 class RingRouter {
  public:
-  enum class Way {
+  enum class Decision {
     pass,      // send it now
     wait,      // hold it until the unit is open again
     come_back  // the client must retry: this broker has no lease
@@ -84,10 +84,10 @@
   }
   // Without a lease the view may be outdated, so even reads (`is_harmless`) are refused. A view
   // must have been taken.
-  Way decide(std::string_view key, bool is_harmless, TimePoint now) const {
+  Decision decide(std::string_view key, bool is_harmless, TimePoint now) const {
     if (!is_leased(now))
-      return Way::come_back;
-    return is_harmless || !view_->is_closed(key) ? Way::pass : Way::wait;
+      return Decision::come_back;
+    return is_harmless || !view_->is_closed(key) ? Decision::pass : Decision::wait;
   }
   // Track a write in flight to its owner, an index into the map's nodes. Reads are not tracked.
   void start(const std::string& key, std::uint32_t owner) {
--- a/tests/coordination/placement/scenario_world.h
+++ b/tests/coordination/placement/scenario_world.h
@@ -16,7 +16,7 @@
 inline constexpr TimePoint dawn = TimePoint{} + 1000s;
 
 struct ScenarioWorld {
-  enum class Strike {
+  enum class Fault {
     none,
     kill_leader,
     kill_broker,
@@ -40,8 +40,8 @@
       {"camper-3", "quick-2"}};
   bool has_heavy = true, has_bulkheads = true;
   bool has_leases = true, has_units = true, has_waits = true, is_pausing = true;  // protections
-  Strike strike = Strike::none;
-  RingMove::Step strike_at{};
+  Fault fault = Fault::none;
+  RingMove::Step fault_step{};
   Fate fate = Fate::none;
   int fated = -1;  // the message that meets it, counted over orders and the brokers' follows
   MoveOptions options;
@@ -61,7 +61,7 @@
   std::vector<double> short_times, heavy_times;
   TimePoint now = dawn;
   int come_backs = 0, messages = 0, last_id = 0, restarts = 0;
-  bool has_struck = false;
+  bool has_injected_fault = false;
 
   ScenarioWorld() {
     options.lease = Duration(1000);
@@ -83,13 +83,13 @@
     document = {1, file, {}, {}, {}};
     cr_assert(!ring_of(document, ring));
     const double disks[] = {400, 400, 40, 200};
-    const double ways[] = {1, 1, 1, 24};
+    const double round_trips_ms[] = {1, 1, 1, 24};
     const double works[] = {1, 1, 1.25, 1};
     for (std::size_t position = 0; position < 4; ++position) {
       ShardNode& node = nodes.emplace_back();
       node.name = ring.nodes[position].name;
       node.disk_mb_s = disks[position];
-      node.way_ms = ways[position];
+      node.round_trip_ms = round_trips_ms[position];
       node.work_times = works[position];
       node.ring = ring;
       free_[position].fill(dawn);
@@ -117,7 +117,7 @@
     return ring.index_of(name);
   }
   // The next number of a generator with a fixed seed.
-  unsigned draw() {
+  unsigned next_random() {
     state_ = state_ * 1664525u + 1013904223u;
     return state_ >> 8;
   }
--- a/tests/coordination/placement/shard_migration_scenario.h
+++ b/tests/coordination/placement/shard_migration_scenario.h
@@ -34,12 +34,12 @@
   void send(Broker& broker, const Request& request) {
     if (now < broker.dead_until)
       return come_back(request);
-    const auto way = !has_leases && request.ask != Ask::write
-                         ? RingRouter::Way::pass
-                         : broker.gate.decide(request.account, request.ask != Ask::write, now);
-    if (way == RingRouter::Way::come_back)
+    const auto decision = !has_leases && request.ask != Ask::write
+                              ? RingRouter::Decision::pass
+                              : broker.gate.decide(request.account, request.ask != Ask::write, now);
+    if (decision == RingRouter::Decision::come_back)
       return come_back(request);
-    if (way == RingRouter::Way::wait) {
+    if (decision == RingRouter::Decision::wait) {
       if (now < request.until)
         broker.parked.push_back(request);
       else
@@ -70,7 +70,7 @@
         else
           backend.short_asked = now;
         const ShardNode& node = nodes[position];
-        const TimePoint there = now + Duration(static_cast<std::int64_t>(node.way_ms / 2));
+        const TimePoint there = now + Duration(static_cast<std::int64_t>(node.round_trip_ms / 2));
         auto& slot = *std::min_element(free_[position].begin(), free_[position].end());
         const double work = (request.is_heavy()      ? 60
                              : request.is_gathered() ? 2
@@ -80,7 +80,7 @@
                std::chrono::microseconds(static_cast<std::int64_t>(work * 1000));
         flight.legs.push_back({position,
                                slot,
-                               slot + Duration(static_cast<std::int64_t>(node.way_ms / 2)),
+                               slot + Duration(static_cast<std::int64_t>(node.round_trip_ms / 2)),
                                false,
                                false,
                                false,
@@ -197,7 +197,7 @@
       decode_moves(document.moves, agreed);
       for (const RingMove& move : agreed)
         if (move.revision == document.revision && move.id == 1)
-          strike_now(move);
+          inject_fault(move);
     }
     if (now < dawn + 3s)
       return;
@@ -233,14 +233,14 @@
     for (const Request& request : std::exchange(broker.parked, {}))
       send(broker, request);
   }
-  void strike_now(const RingMove& move) {
-    if (strike == Strike::none || has_struck || move.step != strike_at)
+  void inject_fault(const RingMove& move) {
+    if (fault == Fault::none || has_injected_fault || move.step != fault_step)
       return;
-    has_struck = true;
+    has_injected_fault = true;
     Broker& broker = brokers[0];
-    if (strike == Strike::kill_leader)
+    if (fault == Fault::kill_leader)
       restart_core();
-    if (strike == Strike::kill_broker) {  // what is on its way goes on, its answers reach nobody
+    if (fault == Fault::kill_broker) {  // what is on its way goes on, its answers reach nobody
       for (Flight& flight : broker.flights) {
         if (flight.request.ask == Ask::write)
           recorder.finish(flight.request);  // the client is told that nobody knows
@@ -261,11 +261,11 @@
       for (Backend& backend : broker.backends)
         backend.capacity = 2;
     }
-    if (strike == Strike::cut_broker)
+    if (fault == Fault::cut_broker)
       broker.cut_until = now + 4s;
-    if (strike == Strike::kill_giver)
+    if (fault == Fault::kill_giver)
       nodes[node_of(move.from)].down_until = now + 1500ms;
-    if (strike == Strike::kill_receiver)
+    if (fault == Fault::kill_receiver)
       nodes[node_of(move.to)].down_until = now + 1500ms;
   }
   void restart_core() {
@@ -301,7 +301,7 @@
     }
     if (now > dawn + length || ticks_ % 3 != 0)
       return;
-    const unsigned kind = draw() % 100;
+    const unsigned kind = next_random() % 100;
     Request request;
     request.id = ++last_id;
     request.ask = kind < 45   ? Ask::lookup
@@ -310,7 +310,8 @@
                   : kind < 92 ? Ask::typeahead
                   : has_heavy ? Ask::history
                               : Ask::lookup;
-    request.account = accounts[draw() % 4 == 0 ? 0 : draw() % accounts.size()];  // one is hot
+    request.account =
+        accounts[next_random() % 4 == 0 ? 0 : next_random() % accounts.size()];  // one is hot
     request.born = now;
     request.until = now + (request.is_heavy() ? 3000ms : 400ms);
     send(brokers[request.id % 2], request);
--- a/tests/coordination/placement/shard_migration_test.cpp
+++ b/tests/coordination/placement/shard_migration_test.cpp
@@ -122,10 +122,10 @@
 }
 
 Test(scenario, whoever_is_killed_or_cut_at_any_step_the_recorder_finds_nothing) {
-  using Strike = ShardMigrationScenario::Strike;
+  using Fault = ShardMigrationScenario::Fault;
   for (const bool is_account : {true, false})
-    for (const auto strike : {Strike::kill_leader, Strike::kill_broker, Strike::cut_broker,
-                              Strike::kill_giver, Strike::kill_receiver})
+    for (const auto fault : {Fault::kill_leader, Fault::kill_broker, Fault::cut_broker,
+                             Fault::kill_giver, Fault::kill_receiver})
       for (const MoveStep step : {MoveStep::planned, MoveStep::copying, MoveStep::closing,
                                   MoveStep::switched, MoveStep::opened, MoveStep::settled}) {
         ShardMigrationScenario scenario;
@@ -135,13 +135,14 @@
         else
           scenario.moves_wanted = {{hot_virtual_node(scenario), "quick-2"}};
         const std::size_t wanted = scenario.moves_wanted.size();
-        scenario.strike = strike;
-        scenario.strike_at = step;
+        scenario.fault = fault;
+        scenario.fault_step = step;
         scenario.run();
-        cr_expect(scenario.has_struck && scenario.recorder.wrongs() == 0, "strike %d at %s: %s",
-                  static_cast<int>(strike), name_of(step), scenario.recorder.text().c_str());
+        cr_expect(scenario.has_injected_fault && scenario.recorder.wrongs() == 0,
+                  "strike %d at %s: %s", static_cast<int>(fault), name_of(step),
+                  scenario.recorder.text().c_str());
         cr_expect(scenario.are_settled(wanted), "strike %d at %s: not settled",
-                  static_cast<int>(strike), name_of(step));
+                  static_cast<int>(fault), name_of(step));
       }
 }
 
@@ -170,8 +171,8 @@
 Test(scenario, with_any_protection_taken_out_the_recorder_finds_it) {
   const auto run = [](auto change) {
     ShardMigrationScenario scenario;
-    scenario.strike = ShardMigrationScenario::Strike::cut_broker;
-    scenario.strike_at = MoveStep::closing;
+    scenario.fault = ShardMigrationScenario::Fault::cut_broker;
+    scenario.fault_step = MoveStep::closing;
     change(scenario);
     scenario.run();
     return scenario.recorder;
--- a/tests/coordination/placement/shard_node_fixture.h
+++ b/tests/coordination/placement/shard_node_fixture.h
@@ -17,8 +17,8 @@
 };
 inline RingHead head_for(const RingView& view, std::size_t node, bool has_units) {
   RingHead head{view.revision, {}, {}};
-  const auto told = view.tellings.find(node);
-  if (has_units && told != view.tellings.end())
+  const auto told = view.unit_visibilities.find(node);
+  if (has_units && told != view.unit_visibilities.end())
     (told->second.is_shown ? head.shown : head.hidden) = told->second.unit;
   return head;
 }
@@ -31,7 +31,7 @@
     bool is_placed = false;  // no part of the virtual node that the ring has it in
   };
   std::string name;
-  double work_times = 1, disk_mb_s = 400, way_ms = 1;
+  double work_times = 1, disk_mb_s = 400, round_trip_ms = 1;
   RingMap ring;
   std::map<std::string, Copy> copies;
   TimePoint down_until{};
