--- a/src/coordination/placement/shard_migration.cpp
+++ b/src/coordination/placement/shard_migration.cpp
@@ -1,18 +1,14 @@
 #include "coordination/placement/shard_migration.h"
 
 #include <algorithm>
-#include <cmath>
 #include <utility>
 
-#include "state/bytes.h"
-
 namespace saddlewing {
 namespace {
 
 constexpr std::size_t max_ended = 32;  // moves that are over and still shown
 constexpr std::size_t max_open = 256;  // planned ones included
 constexpr double max_benefit = 1e9;
-constexpr std::uint64_t moves_form = 2;  // behind a 0, which no move has as its number
 
 bool shares_node(const RingMove& one, const RingMove& other) {
   return one.from == other.from || one.from == other.to || one.to == other.from ||
@@ -24,64 +20,32 @@
   return std::pair(-one.benefit, one.id) < std::pair(-other.benefit, other.id);
 }
 
-}  // namespace
+bool has_ended(const RingMove& move) {
+  return !move.is_open();
+}
 
-const char* name_of(RingMove::Step step) {
-  constexpr const char* names[] = {"planned", "copying", "closing", "switched",
-                                   "settled", "undone",  "opened"};
-  return names[static_cast<std::size_t>(step)];
+// Keeps the latest `max_ended` of the moves that have ended.
+void forget_oldest_ended(std::vector<RingMove>& moves) {
+  while (static_cast<std::size_t>(std::count_if(moves.begin(), moves.end(), has_ended)) > max_ended)
+    moves.erase(std::find_if(moves.begin(), moves.end(), has_ended));
 }
 
-std::string encode_moves(const std::vector<RingMove>& moves) {
-  Writer writer;
-  writer.number(0).number(moves_form);
+// Gives the units of the moves that switch with this document to their receivers.
+void assign_switched(const std::vector<RingMove>& moves, const RingMap& ring,
+                     RingDocument& document) {
   for (const RingMove& move : moves) {
-    writer.number(move.id)
-        .number(move.unit.virtual_node)
-        .text(move.unit.account)
-        .text(move.from)
-        .text(move.to);
-    writer.number(static_cast<std::uint64_t>(move.step))
-        .number(move.revision)
-        .number(static_cast<std::uint64_t>(std::llround(move.benefit * 1000)));
+    if (move.step != RingMove::Step::switched || move.revision != document.revision)
+      continue;
+    if (!move.unit.is_account())
+      document.moved[move.unit.virtual_node] = move.to;
+    else if (ring.nodes[ring.owners[move.unit.virtual_node]].name == move.to)
+      document.placed.erase(move.unit.account);  // the ring has it there anyway
+    else
+      document.placed[move.unit.account] = move.to;
   }
-  return writer.take();
 }
 
-bool decode_moves(const std::string& bytes, std::vector<RingMove>& moves) {
-  moves.clear();
-  ByteReader reader(bytes);
-  std::uint64_t id = bytes.empty() ? 1 : reader.number();
-  const bool is_first_form = id != 0;  // written before accounts moved
-  if (!is_first_form && reader.number() != moves_form)
-    return false;
-  if (!is_first_form && !reader.is_complete())
-    id = reader.number();
-  else if (!is_first_form)
-    return true;
-  if (bytes.empty())
-    return true;
-  for (;;) {
-    RingMove move;
-    move.id = id;
-    move.unit.virtual_node = static_cast<VirtualNode>(reader.number());
-    if (!is_first_form)
-      move.unit.account = reader.text();
-    move.from = reader.text();
-    move.to = reader.text();
-    const std::uint64_t step = reader.number();
-    move.revision = reader.number();
-    if (!is_first_form)
-      move.benefit = static_cast<double>(reader.number()) / 1000;
-    if (!reader.is_good() || step > static_cast<std::uint64_t>(RingMove::Step::opened))
-      return false;
-    move.step = static_cast<RingMove::Step>(step);
-    moves.push_back(std::move(move));
-    if (reader.is_complete())
-      return true;
-    id = reader.number();
-  }
-}
+}  // namespace
 
 // What the taker has and what other open moves will bring it must leave room.
 std::string ShardMigration::find_room(const RingUnit& unit, std::size_t taker, const RingMap& ring,
@@ -249,10 +213,15 @@
   Work& work = works_[move.id];
   if (work.is_fresh || work.revision != move.revision) {
     Work fresh;
-    fresh.revision = move.revision, fresh.since = now, fresh.share = work.share,
-    fresh.position = work.position, fresh.is_fresh = false;
-    if (!move.is_open())
-      fresh.why = work.why, fresh.is_ended = true;
+    fresh.revision = move.revision;
+    fresh.since = now;
+    fresh.share = work.share;
+    fresh.position = work.position;
+    fresh.is_fresh = false;
+    if (!move.is_open()) {
+      fresh.why = work.why;
+      fresh.is_ended = true;
+    }
     work = std::move(fresh);
   }
   using Step = RingMove::Step;
@@ -352,27 +321,14 @@
   }
   if (!has_changed_)
     return;
-  while (static_cast<std::size_t>(std::count_if(
-             moves_.begin(), moves_.end(), [](const RingMove& move) { return !move.is_open(); })) >
-         max_ended)
-    moves_.erase(std::find_if(moves_.begin(), moves_.end(),
-                              [](const RingMove& move) { return !move.is_open(); }));
+  forget_oldest_ended(moves_);
   std::erase_if(works_, [&](const auto& work) {
     return std::none_of(moves_.begin(), moves_.end(),
                         [&](const RingMove& move) { return move.id == work.first; });
   });
   RingDocument next = document;
   next.revision = revision_ + 1;
-  for (const RingMove& move : moves_) {
-    if (move.step != RingMove::Step::switched || move.revision != next.revision)
-      continue;
-    if (!move.unit.is_account())
-      next.moved[move.unit.virtual_node] = move.to;
-    else if (ring.nodes[ring.owners[move.unit.virtual_node]].name == move.to)
-      next.placed.erase(move.unit.account);  // where the ring has it
-    else
-      next.placed[move.unit.account] = move.to;
-  }
+  assign_switched(moves_, ring, next);
   next.moves = encode_moves(moves_);
   is_proposing_ = true;
   output_.proposal = std::move(next);
--- a/tests/coordination/placement/shard_migration_scenario.h
+++ b/tests/coordination/placement/shard_migration_scenario.h
@@ -1,225 +1,17 @@
 #pragma once
-// A busy evening on mixed shard nodes, replayed with a clock of its own: typeahead, lookups, desk
-// checks, holds and tickets, floods of full histories, and moves of virtual nodes and of accounts,
-// with whoever takes part killed or cut off.
+// Simulates a busy time on mixed shard nodes with a clock of its own: short lookups, gathers,
+// writes and heavy reads, while virtual nodes and accounts move and a participant is killed or cut
+// off. Deterministic and single-threaded.
 #include <criterion/criterion.h>
 
 #include <algorithm>
-#include <array>
 #include <set>
 
-#include "coordination/placement/shard_node_fixture.h"
-#include "coordination/routing/bulkhead.h"
+#include "coordination/placement/scenario_world.h"
 
 namespace saddlewing::tests {
 
-inline constexpr TimePoint dawn = TimePoint{} + 1000s;
-
-enum class Ask {
-  lookup,
-  desk_check,
-  write,
-  typeahead,
-  history
-};
-struct Request {
-  int id = 0;
-  Ask ask{};
-  std::string account;
-  TimePoint born{}, until{};
-  int tries = 0;
-  bool is_gathered() const {
-    return ask == Ask::typeahead;
-  }
-  bool is_heavy() const {
-    return ask == Ask::history;
-  }
-};
-
-// Knows every write that was acknowledged, and judges what is answered by that alone.
-class Recorder {
- public:
-  void acknowledge(const Request& request, TimePoint now) {
-    written_[request.account].push_back({request.id, now});
-  }
-  void land(int id) {
-    doubled += ++landed_[id] > 1;
-  }
-  void finish(const Request& request) {
-    ++finals_[request.id];
-  }
-  void judge_read(const Request& request, const std::string& account, const std::vector<int>& seen,
-                  TimePoint began) {
-    for (const auto& [id, when] : written_[account])
-      if (when < began && std::find(seen.begin(), seen.end(), id) == seen.end()) {
-        ++stale;
-        (void)request;
-        return;
-      }
-  }
-  void judge_gather(const Request& request,
-                    const std::vector<std::pair<std::string, std::vector<int>>>& seen,
-                    std::size_t accounts, TimePoint began) {
-    std::map<std::string, int> counts;
-    for (const auto& [account, writes] : seen) {
-      doubling += ++counts[account] > 1;
-      judge_read(request, account, writes, began);
-    }
-    lacking += counts.size() < accounts;
-  }
-  // At the end: every acknowledged write is at its owner, and every request had one final answer.
-  void close(const RingMap& ring, const std::vector<ShardNode>& nodes, int last) {
-    for (const auto& [account, writes] : written_) {
-      const auto& copies = nodes[ring.owner_of(account)].copies;
-      const auto copy = copies.find(account);
-      for (const auto& [id, when] : writes)
-        missing += copy == copies.end() ||
-                   std::count(copy->second.writes.begin(), copy->second.writes.end(), id) != 1;
-    }
-    for (int id = 1; id <= last; ++id)
-      stranded += finals_[id] != 1;
-  }
-  int wrongs() const {
-    return stranded + doubled + missing + lacking + doubling + stale;
-  }
-  std::string text() const {
-    return "stranded " + std::to_string(stranded) + ", writes doubled " + std::to_string(doubled) +
-           ", missing " + std::to_string(missing) + ", answers lacking " + std::to_string(lacking) +
-           ", doubling " + std::to_string(doubling) + ", stale " + std::to_string(stale);
-  }
-  int stranded = 0, doubled = 0, missing = 0, lacking = 0, doubling = 0, stale = 0;
-
- private:
-  std::map<std::string, std::vector<std::pair<int, TimePoint>>> written_;
-  std::map<int, int> landed_, finals_;
-};
-
-struct ShardMigrationScenario {
-  enum class Strike {
-    none,
-    kill_leader,
-    kill_broker,
-    cut_broker,
-    kill_giver,
-    kill_receiver
-  };
-  enum class Fate {
-    none,
-    lost,
-    doubled,
-    late
-  };  // of one message
-  struct Flight {
-    Request request;
-    RingSnapshot view;
-    TimePoint began{};
-    struct Leg {
-      std::size_t node;
-      TimePoint lands{}, back{};
-      bool has_landed = false, is_back = false, is_turned_away = false;
-      std::vector<int> seen;
-    };
-    std::vector<Leg> legs;
-    std::vector<std::pair<std::string, std::vector<int>>> gathered;
-  };
-  struct Broker {
-    RingRouter gate;
-    IncarnationId incarnation{1};
-    TimePoint due{}, cut_until{}, dead_until{};
-    std::vector<Request> parked;
-    FairQueue<Request> waiting{256, 4};
-    std::vector<Flight> flights;
-    std::array<Backend, 4> backends;  // its view of the nodes
-  };
-
-  // Options of an evening, set before it runs.
-  Duration length{16000};
-  std::vector<std::pair<std::string, std::string>> moves_wanted = {  // unit and receiver
-      {"camper-0", "quick-2"},
-      {"camper-1", "quick-2"},
-      {"camper-2", "far"},
-      {"camper-3", "quick-2"}};
-  bool has_heavy = true, has_bulkheads = true;
-  bool has_leases = true, has_units = true, has_waits = true, is_pausing = true;  // protections
-  Strike strike = Strike::none;
-  RingMove::Step strike_at{};
-  Fate fate = Fate::none;
-  int fated = -1;  // the message that meets it, counted over orders and the brokers' follows
-  MoveOptions options;
-
-  Recorder recorder;
-  RingDocument document;
-  RingMap ring;
-  std::vector<ShardNode> nodes;
-  std::array<Broker, 2> brokers;
-  std::unique_ptr<ShardMigration> moves;
-  RingLoads loads{Duration(20000)};
-  AccountLoads account_loads{Duration(20000), 256};
-  RingReport report() const {
-    RingLoadMonitor watch{WatchOptions{}};
-    return watch.report(ring, loads.sums(ring.owners.size(), now), account_loads.sums(now));
-  }
-  std::vector<double> short_times, heavy_times;
-  TimePoint now = dawn;
-  int come_backs = 0, messages = 0, last_id = 0, restarts = 0;
-  bool has_struck = false;
-
-  ShardMigrationScenario() {
-    options.lease = Duration(1000);
-    options.settle = Duration(1300);
-    options.max_read_duration = options.max_gather_duration = Duration(700);
-    std::string file =
-        "edition: 1\nrule: lookups\nvirtual_nodes: 32\nvirtual_node_memory_mb: "
-        "10\nvirtual_node_disk_mb: 120\naccount_disk_mb: 40\nnodes:\n";
-    file +=
-        "- {name: quick-1, zone: x, region: r, memory_mb: 900, disk_mb: 9000, disk_mb_per_s: "
-        "400}\n";
-    file +=
-        "- {name: quick-2, zone: x, region: r, memory_mb: 900, disk_mb: 9000, disk_mb_per_s: "
-        "400}\n";
-    file +=
-        "- {name: slow, zone: x, region: r, memory_mb: 900, disk_mb: 9000, disk_mb_per_s: 40}\n";
-    file +=
-        "- {name: far, zone: z, region: s, memory_mb: 900, disk_mb: 9000, disk_mb_per_s: 200}\n";
-    document = {1, file, {}, {}, {}};
-    cr_assert(!ring_of(document, ring));
-    const double disks[] = {400, 400, 40, 200};
-    const double ways[] = {1, 1, 1, 24};
-    const double works[] = {1, 1, 1.25, 1};
-    for (std::size_t position = 0; position < 4; ++position) {
-      ShardNode& node = nodes.emplace_back();
-      node.name = ring.nodes[position].name;
-      node.disk_mb_s = disks[position], node.way_ms = ways[position],
-      node.work_times = works[position];
-      node.ring = ring;
-      free_[position].fill(dawn);
-    }
-    // The first few accounts, the hot one among them, start on one node.
-    for (int number = 0, given = 0; given < 60; ++number) {
-      const std::string found = "acct-" + std::to_string(number);
-      const std::size_t owner = ring.owner_of(found);
-      if (given < 12 && ring.nodes[owner].name != "quick-1")
-        continue;
-      accounts.push_back(found);
-      nodes[owner].copies[found] = {{}, true, false, false};
-      ++given;
-    }
-    for (Broker& broker : brokers) {
-      broker.gate.take(view_ring(document));
-      for (Backend& backend : broker.backends)
-        backend.capacity = 2;
-    }
-  }
-  std::string unit_name(const std::string& wanted) const {
-    return wanted.starts_with("camper-") ? accounts[std::stoul(wanted.substr(7))] : wanted;
-  }
-  std::size_t node_of(const std::string& name) const {
-    return ring.index_of(name);
-  }
-  unsigned draw() {
-    return state_ = state_ * 1664525u + 1013904223u, state_ >> 8;
-  }
-
+struct ShardMigrationScenario : ScenarioWorld {
   void answer(const Request& request, bool is_timed = true) {
     recorder.finish(request);
     const double took = std::chrono::duration<double, std::milli>(now - request.born).count();
@@ -242,12 +34,12 @@
   void send(Broker& broker, const Request& request) {
     if (now < broker.dead_until)
       return come_back(request);
-    const auto way = !has_leases && request.ask != Ask::write
-                         ? RingRouter::Way::pass
-                         : broker.gate.decide(request.account, request.ask != Ask::write, now);
-    if (way == RingRouter::Way::come_back)
+    const auto decision = !has_leases && request.ask != Ask::write
+                              ? RingRouter::Decision::pass
+                              : broker.gate.decide(request.account, request.ask != Ask::write, now);
+    if (decision == RingRouter::Decision::come_back)
       return come_back(request);
-    if (way == RingRouter::Way::wait) {
+    if (decision == RingRouter::Decision::wait) {
       if (now < request.until)
         broker.parked.push_back(request);
       else
@@ -278,7 +70,7 @@
         else
           backend.short_asked = now;
         const ShardNode& node = nodes[position];
-        const TimePoint there = now + Duration(static_cast<std::int64_t>(node.way_ms / 2));
+        const TimePoint there = now + Duration(static_cast<std::int64_t>(node.round_trip_ms / 2));
         auto& slot = *std::min_element(free_[position].begin(), free_[position].end());
         const double work = (request.is_heavy()      ? 60
                              : request.is_gathered() ? 2
@@ -288,7 +80,7 @@
                std::chrono::microseconds(static_cast<std::int64_t>(work * 1000));
         flight.legs.push_back({position,
                                slot,
-                               slot + Duration(static_cast<std::int64_t>(node.way_ms / 2)),
+                               slot + Duration(static_cast<std::int64_t>(node.round_trip_ms / 2)),
                                false,
                                false,
                                false,
@@ -346,10 +138,12 @@
         broker.gate.finish(request.account, static_cast<std::uint32_t>(flight.legs[0].node));
       if (std::any_of(flight.legs.begin(), flight.legs.end(),
                       [](const Flight::Leg& leg) { return leg.is_turned_away; })) {
-        if (broker.gate.view()->revision > flight.view->revision && now < request.until)
-          ++restarts, send(broker, request);
-        else
+        if (broker.gate.view()->revision > flight.view->revision && now < request.until) {
+          ++restarts;
+          send(broker, request);
+        } else {
           come_back(request);
+        }
         continue;
       }
       if (request.ask == Ask::write)
@@ -379,7 +173,8 @@
   }
   void run_cluster_status() {
     moves->tick(true, document, ring, late_ <= 0.02 * std::max(50.0, lookups_) || !is_pausing, now);
-    lookups_ *= 0.8, late_ *= 0.8;
+    lookups_ *= 0.8;
+    late_ *= 0.8;
     ShardMigration::Output output = moves->take();
     for (const auto& one : output.orders) {
       const Fate met = meet();
@@ -402,7 +197,7 @@
       decode_moves(document.moves, agreed);
       for (const RingMove& move : agreed)
         if (move.revision == document.revision && move.id == 1)
-          strike_now(move);
+          inject_fault(move);
     }
     if (now < dawn + 3s)
       return;
@@ -438,14 +233,14 @@
     for (const Request& request : std::exchange(broker.parked, {}))
       send(broker, request);
   }
-  void strike_now(const RingMove& move) {
-    if (strike == Strike::none || has_struck || move.step != strike_at)
+  void inject_fault(const RingMove& move) {
+    if (fault == Fault::none || has_injected_fault || move.step != fault_step)
       return;
-    has_struck = true;
+    has_injected_fault = true;
     Broker& broker = brokers[0];
-    if (strike == Strike::kill_leader)
+    if (fault == Fault::kill_leader)
       restart_core();
-    if (strike == Strike::kill_broker) {  // what is on its way goes on, its answers reach nobody
+    if (fault == Fault::kill_broker) {  // what is on its way goes on, its answers reach nobody
       for (Flight& flight : broker.flights) {
         if (flight.request.ask == Ask::write)
           recorder.finish(flight.request);  // the client is told that nobody knows
@@ -466,11 +261,11 @@
       for (Backend& backend : broker.backends)
         backend.capacity = 2;
     }
-    if (strike == Strike::cut_broker)
+    if (fault == Fault::cut_broker)
       broker.cut_until = now + 4s;
-    if (strike == Strike::kill_giver)
+    if (fault == Fault::kill_giver)
       nodes[node_of(move.from)].down_until = now + 1500ms;
-    if (strike == Strike::kill_receiver)
+    if (fault == Fault::kill_receiver)
       nodes[node_of(move.to)].down_until = now + 1500ms;
   }
   void restart_core() {
@@ -506,7 +301,7 @@
     }
     if (now > dawn + length || ticks_ % 3 != 0)
       return;
-    const unsigned kind = draw() % 100;
+    const unsigned kind = next_random() % 100;
     Request request;
     request.id = ++last_id;
     request.ask = kind < 45   ? Ask::lookup
@@ -515,7 +310,8 @@
                   : kind < 92 ? Ask::typeahead
                   : has_heavy ? Ask::history
                               : Ask::lookup;
-    request.account = accounts[draw() % 4 == 0 ? 0 : draw() % accounts.size()];  // one is hot
+    request.account =
+        accounts[next_random() % 4 == 0 ? 0 : next_random() % accounts.size()];  // one is hot
     request.born = now;
     request.until = now + (request.is_heavy() ? 3000ms : 400ms);
     send(brokers[request.id % 2], request);
@@ -539,17 +335,6 @@
                moves->moves().begin(), moves->moves().end(),
                [](const RingMove& move) { return move.step == RingMove::Step::settled; })) == count;
   }
-  std::vector<std::string> accounts;
-
- private:
-  std::array<std::array<TimePoint, 2>, 4> free_{};  // when each slot of a node comes free
-  std::array<int, 4> load_{};
-  std::vector<std::pair<TimePoint, Request>> later_;
-  std::vector<std::pair<TimePoint, ShardMigration::Order>> delayed_;
-  std::vector<Flight> orphans_;
-  unsigned state_ = 7;
-  int ticks_ = 0;
-  double lookups_ = 0, late_ = 0;
 };
 
 }  // namespace saddlewing::tests
