--- a/src/broker/backend_connection.cpp
+++ b/src/broker/backend_connection.cpp
@@ -75,14 +75,14 @@
   context->connections.push_back(serial_);
   is_heavy_ = context->is_heavy;
   if (is_heavy_)
-    ++backend_->heavy_asked;
+    ++backend_->active_heavy_requests;
   else
-    backend_->short_asked = now;
+    backend_->last_short_request_at = now;
   context_ = std::move(context);
   part_ = part;
   asked_ = now;
-  ++backend_->asked;
-  backend_->last_asked = now;
+  ++backend_->active_requests;
+  backend_->last_request_at = now;
   is_connect_checked_ = caller_.was_connected();
   traffic_.timers_.set(
       *this,
@@ -98,9 +98,9 @@
 }
 
 RequestContextPointer BackendConnection::release() {
-  --backend_->asked;
+  --backend_->active_requests;
   if (is_heavy_)
-    --backend_->heavy_asked;
+    --backend_->active_heavy_requests;
   traffic_.timers_.drop(*this);
   return std::move(context_);
 }
@@ -112,7 +112,7 @@
     return traffic_.keep_warm(backend);
   }
   if (!caller_.was_connected()) {
-    backend_->breaker.fail(now, true);
+    backend_->breaker.record_failure(now, true);
     report_failure(ErrorCode::silent, false);
     const RequestContextPointer context = release();
     const std::size_t part = part_;
@@ -126,7 +126,7 @@
   const TimePoint last = context_->requester->deadline() + past_deadline;
   if (now < last) {
     if (now - asked_ >= stalled_least)
-      backend_->breaker.fail(now, false);
+      backend_->breaker.record_failure(now, false);
     traffic_.timers_.set(
         *this, now - asked_ >= stalled_least ? last : std::min(last, asked_ + stalled_least));
     return;
@@ -149,8 +149,9 @@
                   &slots) != 3)
     return;
   // What it told still counts the outcome just given.
-  backend_->foreign_load = std::max(0, running + waiting - 1 - (backend_->asked - 1));
-  backend_->load_seen = now;
+  backend_->reported_remote_load =
+      std::max(0, running + waiting - 1 - (backend_->active_requests - 1));
+  backend_->remote_load_reported_at = now;
   if (slots > 0)
     backend_->capacity = slots;
 }
@@ -181,9 +182,9 @@
   }
   const Duration took = elapsed(asked_, now);
   if (outcome.status == 421)
-    backend_->breaker.fail(now, true);
+    backend_->breaker.record_failure(now, true);
   else if (!outcome.is_not_run) {
-    backend_->breaker.succeed();
+    backend_->breaker.record_success();
     // Without the handshake: it says nothing of the backend, and the first one would decide who is
     // asked from then on.
     const Duration served = elapsed(std::max(asked_, caller_.connected_at()), now);
@@ -209,10 +210,12 @@
   if (response.has("Keep-Alive"))
     traffic_.idle_spans_[backend_->service] = idle;
   const RequestContextPointer context = release();
-  if (is_ended() || backend_->is_cancelled || idle <= Duration(0)) {
+  if (is_ended() || backend_->is_draining || idle <= Duration(0)) {
     traffic_.defer_delete(this);
   } else {
-    rest(now, backend_->is_own || !backend_->is_scarce ? idle : std::min(idle, borrowed_idle));
+    rest(now, backend_->is_in_subset || !backend_->has_scarce_connections
+                  ? idle
+                  : std::min(idle, borrowed_idle));
   }
   if (outcome.is_not_run && context->ring && traffic_.restart(context, part, now))
     return;
@@ -225,7 +228,7 @@
 void BackendConnection::on_failure(HttpClientConnection& caller, ErrorCode kind, TimePoint now) {
   if (!context_)
     return on_idle_end(caller);
-  backend_->breaker.fail(now, kind == ErrorCode::refused_connection);
+  backend_->breaker.record_failure(now, kind == ErrorCode::refused_connection);
   metrics().add(Metric::breakdowns);
   traffic_.count_edge(backend_->service, backend_->zone,
                       is_heavy_ ? EdgeClass::heavy : EdgeClass::light, elapsed(asked_, now), true);
--- a/src/broker/broker_delegated_gather.cpp
+++ b/src/broker/broker_delegated_gather.cpp
@@ -23,12 +23,12 @@
 }
 
 bool BrokerLoop::is_near(const Backend& backend, const std::string& region, TimePoint now) {
-  return !backend.is_cancelled && backend.status == Status::up && backend.region == region &&
+  return !backend.is_draining && backend.status == Status::up && backend.region == region &&
          !backend.breaker.is_open(now);
 }
 
-ProxiedRequest::Ground::Delegation BrokerLoop::delegate(ProxiedRequest& proxied_request,
-                                                        Duration flush_after, TimePoint now) {
+ProxiedRequest::Callbacks::Delegation BrokerLoop::delegate(ProxiedRequest& proxied_request,
+                                                           Duration flush_after, TimePoint now) {
   const auto& shards = proxied_request.route().shards;
   const auto& services = proxied_request.table().by_service;
   std::vector<std::size_t> lacking;
@@ -64,7 +64,7 @@
           covered->second.push_back(index);
       }
     const std::vector<std::size_t>& parts = covered->second;
-    double cost = (aide.mean_ms + 10) * (1 + aide.under_way) * (1 + draw() * 0.1);
+    double cost = (aide.mean_ms + 10) * (1 + aide.under_way) * (1 + random_fraction() * 0.1);
     if (settings_.has_edges)
       if (const auto standing =
               edge_selector_.standing("", seat.region, std::max<std::uint64_t>(1, view_->brokers));
@@ -84,8 +84,8 @@
   if (context == contexts_.end())
     return {};
   DelegateBroker& aide = delegates_[best->address];
-  if (aide.breaker.is_on_trial(now))
-    aide.breaker.start_trial(now);
+  if (aide.breaker.is_probe_due(now))
+    aide.breaker.start_probe(now);
   // The first frame is to be back before this side would ask directly.
   const Duration frame_after =
       std::max(flush_after - Duration(static_cast<std::int64_t>(aide.way_ms) + frame_margin_ms),
@@ -113,7 +113,7 @@
   return {best_parts, best->region, aide.way_ms, aide.mean_ms - aide.way_ms};
 }
 
-void BrokerLoop::delegation_is_late(ProxiedRequest& proxied_request, TimePoint now) {
+void BrokerLoop::handle_delegation_timeout(ProxiedRequest& proxied_request, TimePoint now) {
   const auto token = delegation_tokens_.find(&proxied_request);
   if (token == delegation_tokens_.end())
     return;
@@ -121,7 +121,7 @@
   if (call != delegations_.end()) {
     DelegateBroker& aide = delegates_[call->second.to];
     --aide.under_way;
-    aide.breaker.fail(now, false);
+    aide.breaker.record_failure(now, false);
     count_edge("", region_of_delegate(call->second.to), EdgeClass::light,
                elapsed(call->second.asked, now), true);
     delegations_.erase(call);
@@ -158,7 +158,7 @@
       position(done.part);
     for (GatherResult::Failed& failed : came->aided.failed)
       position(failed.part);
-    aide.breaker.succeed();
+    aide.breaker.record_success();
     count_edge("", region_of_delegate(call->second.to), EdgeClass::light, took, false);
     const double way =
         std::max(0.0, static_cast<double>(took.count()) - static_cast<double>(came->aided.held));
--- a/src/broker/broker_edges.cpp
+++ b/src/broker/broker_edges.cpp
@@ -49,10 +49,10 @@
     const EdgeSelector::Standing standing =
         is_empty ? EdgeSelector::Standing{}
                  : edge_selector_.standing(backend->service, backend->zone, brokers);
-    backend->is_avoided = standing.verdict == EdgeState::Verdict::avoided;
+    backend->is_ejected = standing.verdict == EdgeState::Verdict::avoided;
     backend->is_preferred = standing.verdict == EdgeState::Verdict::preferred;
-    backend->is_trying = standing.is_trying;
-    backend->percent_kept = static_cast<unsigned>(standing.percent_kept);
+    backend->is_probing = standing.is_trying;
+    backend->kept_traffic_percent = static_cast<unsigned>(standing.percent_kept);
   }
 }
 
--- a/src/broker/broker_fair_queue.cpp
+++ b/src/broker/broker_fair_queue.cpp
@@ -10,11 +10,11 @@
 
 }  // namespace
 
-PickConstraints BrokerLoop::wish(const ProxiedRequest& proxied_request, const std::string& service,
-                                 TimePoint now) {
+PickConstraints BrokerLoop::pick_constraints(const ProxiedRequest& proxied_request,
+                                             const std::string& service, TimePoint now) {
   PickConstraints wish;
-  wish.may_try = proxied_request.route().is_harmless &&
-                 now - proxied_request.began() < proxied_request.route().target / 4;
+  wish.may_probe = proxied_request.route().is_harmless &&
+                   now - proxied_request.began() < proxied_request.route().target / 4;
   if (!classes_.is_on())
     return wish;
   wish.is_heavy = classes_.is_heavy(service, proxied_request.route().name, now);
@@ -22,20 +22,20 @@
     context->second->is_heavy = wish.is_heavy;
   if (!wish.is_heavy)
     return wish;
-  wish.short_work = classes_.short_work(service, now);
-  wish.waited = elapsed(proxied_request.began(), now);
+  wish.short_request_time = classes_.short_request_time(service, now);
+  wish.time_queued = elapsed(proxied_request.began(), now);
   return wish;
 }
 
 void BrokerLoop::record_work(const RequestContext& context, const Backend& backend, Duration took,
                              std::size_t bytes, TimePoint now) {
   if (classes_.is_on() && context.proxied_request)
-    classes_.see(backend.service, context.proxied_request->route().name,
-                 static_cast<double>(took.count()), static_cast<double>(bytes), now);
+    classes_.record(backend.service, context.proxied_request->route().name,
+                    static_cast<double>(took.count()), static_cast<double>(bytes), now);
 }
 
 // False: bulkheads are off, or too many wait; then the errand looks again by itself.
-bool BrokerLoop::wait_turn(ProxiedRequest& proxied_request, TimePoint now) {
+bool BrokerLoop::enqueue(ProxiedRequest& proxied_request, TimePoint now) {
   if (!classes_.is_on())
     return false;
   const auto context = contexts_.find(&proxied_request);
@@ -47,7 +47,7 @@
   while (turns_.pop_last(displaced))
     if (const auto other = contexts_.find(displaced);
         other != contexts_.end() && other->second->proxied_request) {
-      other->second->proxied_request->lose_turn(now + turn_step);
+      other->second->proxied_request->on_evicted(now + turn_step);
       arrange(*other->second);
     }
   timers_.set(turn_clock_, now + turn_step);
@@ -63,7 +63,7 @@
     if (found == contexts_.end() || !found->second->proxied_request)
       continue;  // it ended meanwhile
     const RequestContextPointer context = found->second;
-    context->proxied_request->on_turn(now);
+    context->proxied_request->on_dequeued(now);
     arrange(*context);
   }
   if (!turns_.is_empty())
--- a/src/broker/broker_loop.cpp
+++ b/src/broker/broker_loop.cpp
@@ -160,15 +160,15 @@
   view_ = std::move(view);
   std::map<std::string, BackendPointer> kept;
   for (const Endpoint& entry : view_->backends) {
-    BackendPointer backend = keep_backend(backends_, entry, settings_.zones, now);
+    BackendPointer backend = update_backend(backends_, entry, settings_.zones, now);
     if (!backend)
       continue;
     kept[entry.id] = std::move(backend);
   }
   for (const auto& [id, backend] : backends_) {
     if (!kept.contains(id))
-      backend->is_cancelled = true;
-    if (!backend->is_cancelled)
+      backend->is_draining = true;
+    if (!backend->is_draining)
       continue;
     const auto idle = idle_.find(backend.get());
     if (idle == idle_.end())
@@ -180,12 +180,12 @@
   backends_ = std::move(kept);
   by_name_.clear();
   for (const auto& [id, backend] : backends_)
-    if (!backend->is_cancelled)
+    if (!backend->is_draining)
       by_name_[backend->service].push_back(backend);
   if (!view_->configuration)
     return;
   metrics().set(Metric::version, view_->configuration->version.value);
-  auto table = std::make_shared<Table>();
+  auto table = std::make_shared<RoutingTable>();
   table->configuration = view_->configuration;
   std::unordered_map<std::string, std::size_t> indices;
   for (const Service& service : table->configuration->services)
@@ -198,9 +198,9 @@
   const std::string address = Address{settings_.ip_address, settings_.own_port}.text();
   for (std::size_t index = 0; index < table_->by_service.size(); ++index) {
     const auto& backends = table_->by_service[index];
-    choose_own(backends, {settings_.zone, settings_.region}, address,
-               table_->configuration->services[index].max_connections * 4 / 5,
-               static_cast<int>(std::max<std::uint64_t>(1, view_->brokers)));
+    choose_subset(backends, {settings_.zone, settings_.region}, address,
+                  table_->configuration->services[index].max_connections * 4 / 5,
+                  static_cast<int>(std::max<std::uint64_t>(1, view_->brokers)));
     for (const BackendPointer& backend : backends)
       keep_warm(backend);
   }
@@ -254,7 +254,7 @@
   contexts_[context->proxied_request] = context;
   by_exchange_[exchange.id()] = context->proxied_request;
   if (before)
-    context->proxied_request->start_again(*before->proxied_request, now);
+    context->proxied_request->restart_from(*before->proxied_request, now);
   else
     context->proxied_request->start(now);
   arrange(*context);
@@ -307,7 +307,8 @@
   return head + "\r\n";
 }
 
-bool BrokerLoop::ask(Requester& requester, std::size_t part, Backend& backend, TimePoint now) {
+bool BrokerLoop::send_attempt(Requester& requester, std::size_t part, Backend& backend,
+                              TimePoint now) {
   const auto context = contexts_.find(&requester);
   const auto pointer = backends_.find(backend.id);
   if (context == contexts_.end() || pointer == backends_.end() || pointer->second.get() != &backend)
@@ -328,12 +329,13 @@
   connections_[connection] = std::move(fresh);
   if (connection->ask(context->second, part, now))
     return true;
-  backend.breaker.fail(now, true);
+  backend.breaker.record_failure(now, true);
   defer_delete(connection);
   return false;
 }
 
-void BrokerLoop::answer(ProxiedRequest& proxied_request, FinalAnswer answer, TimePoint now) {
+void BrokerLoop::send_response(ProxiedRequest& proxied_request, FinalResponse answer,
+                               TimePoint now) {
   const auto found = contexts_.find(&proxied_request);
   if (found == contexts_.end())
     return;
@@ -364,7 +366,7 @@
   exchange->answer(std::move(reply), now);
 }
 
-RetryBudget& BrokerLoop::budget(const std::string& service) {
+RetryBudget& BrokerLoop::retry_budget(const std::string& service) {
   return budgets_.try_emplace(service, settings_.retry_span, settings_.retry_share).first->second;
 }
 
@@ -381,10 +383,10 @@
 void BrokerLoop::keep_warm(const BackendPointer& backend) {
   const auto usual = by_name_.find(backend->service);
   const TimePoint now = Clock::now();
-  if (backend->is_cancelled || backend->connections > 0 || !backend->is_own ||
-      now < backend->warm_after || usual == by_name_.end() || is_leaving_ || !table_)
+  if (backend->is_draining || backend->connections > 0 || !backend->is_in_subset ||
+      now < backend->preconnect_after || usual == by_name_.end() || is_leaving_ || !table_)
     return;
-  if (backend->region == settings_.region && now - backend->last_asked > in_use_span)
+  if (backend->region == settings_.region && now - backend->last_request_at > in_use_span)
     return;
   const auto& services = table_->configuration->services;
   if (std::none_of(services.begin(), services.end(),
@@ -393,7 +395,8 @@
   auto fresh = std::make_unique<BackendConnection>(*this, backend);
   BackendConnection* connection = fresh.get();
   connections_[connection] = std::move(fresh);
-  backend->warm_after = now + warm_pause;  // one that ends at once is not opened again and again
+  backend->preconnect_after =
+      now + warm_pause;  // one that ends at once is not opened again and again
   if (connection->is_ended())
     return defer_delete(connection);
   const auto learnt = idle_spans_.find(backend->service);
--- a/src/broker/broker_loop.h
+++ b/src/broker/broker_loop.h
@@ -89,8 +89,8 @@
 };
 
 class BrokerLoop final : public HttpServer::Handler,
-                         public ProxiedRequest::Ground,
-                         public DelegatedGatherWork::Ground {
+                         public ProxiedRequest::Callbacks,
+                         public DelegatedGatherWork::Callbacks {
  public:
   BrokerLoop(const NodeSettings& settings, IncarnationId incarnation);
   Error open();
@@ -127,26 +127,27 @@
 
   void on_request(ServerExchange& exchange, TimePoint now) override;
   void on_gone(ServerExchange& exchange) override;
-  bool ask(Requester& requester, std::size_t part, Backend& backend, TimePoint now) override;
-  ProxiedRequest::Ground::Delegation delegate(ProxiedRequest& proxied_request, Duration flush_after,
-                                              TimePoint now) override;
-  void delegation_is_late(ProxiedRequest& proxied_request, TimePoint now) override;
+  bool send_attempt(Requester& requester, std::size_t part, Backend& backend,
+                    TimePoint now) override;
+  ProxiedRequest::Callbacks::Delegation delegate(ProxiedRequest& proxied_request,
+                                                 Duration flush_after, TimePoint now) override;
+  void handle_delegation_timeout(ProxiedRequest& proxied_request, TimePoint now) override;
   void send_gather_result(DelegatedGatherWork& work, GatherResult aided, TimePoint now) override;
-  void answer(ProxiedRequest& proxied_request, FinalAnswer answer, TimePoint now) override;
-  RetryBudget& budget(const std::string& service) override;
-  double reserve(TimePoint now) override {
+  void send_response(ProxiedRequest& proxied_request, FinalResponse answer, TimePoint now) override;
+  RetryBudget& retry_budget(const std::string& service) override;
+  double retry_reserve(TimePoint now) override {
     return view_->reserve.part(now);
   }
   PickResult pick(const std::vector<BackendPointer>& backends,
                   const std::vector<const Backend*>& tried, int max_connections, TimePoint now,
                   const PickConstraints& wish) override;
-  PickConstraints wish(const ProxiedRequest& proxied_request, const std::string& service,
-                       TimePoint now) override;
-  bool wait_turn(ProxiedRequest& proxied_request, TimePoint now) override;
-  LatencyEstimate& pace(const Route& route) override {
+  PickConstraints pick_constraints(const ProxiedRequest& proxied_request,
+                                   const std::string& service, TimePoint now) override;
+  bool enqueue(ProxiedRequest& proxied_request, TimePoint now) override;
+  LatencyEstimate& latency_estimate(const Route& route) override {
     return paces_[route.name + route.host + route.path_start];
   }
-  double draw() override {
+  double random_fraction() override {
     return std::uniform_real_distribution<double>(0, 1)(draw_);
   }
 
@@ -237,7 +238,7 @@
   BoundedQueue<ViewSnapshot> views_;
   ViewSnapshot view_ = std::make_shared<View>();  // invariant: never null; other brokers may ask
                                                   // before the first one
-  TableSnapshot table_;
+  RoutingTableSnapshot table_;
   std::map<std::string, BackendPointer> backends_;          // by id
   std::unordered_map<std::string, RetryBudget> budgets_;    // by service
   std::unordered_map<std::string, LatencyEstimate> paces_;  // by rule
@@ -252,7 +253,7 @@
     double mean_ms = 0,
            way_ms = 0;  // until a frame comes; of that, what the way there and back takes
     int under_way = 0;
-    Breaker breaker;
+    CircuitBreaker breaker;
   };
   struct DelegatedGather {
     const Requester* requester;
@@ -288,7 +289,7 @@
   EdgeSelector edge_selector_;
   EdgeCounts edge_counts_{4096};
   EdgeClock edge_clock_{*this};
-  WorkClasses classes_;
+  RouteCostClassifier classes_;
   FairQueue<const Requester*> turns_{max_waiting, 4};  // short ones get four turns to one
   TurnClock turn_clock_{*this};
   bool is_leaving_ = false;
--- a/src/broker/broker_ring.cpp
+++ b/src/broker/broker_ring.cpp
@@ -96,7 +96,7 @@
   ServerExchange* exchange = server_.find(context->exchange);
   if (!exchange)
     return false;
-  context->proxied_request->give_way(part);
+  context->proxied_request->close_for_restart(part);
   by_exchange_.erase(context->exchange);
   end_context(context->requester.get());
   exchange->body() = std::move(context->body);
--- a/src/coordination/databases/connection_pool.cpp
+++ b/src/coordination/databases/connection_pool.cpp
@@ -57,7 +57,7 @@
   if (position != row.connections.end())
     std::rotate(position, position + 1, row.connections.end());
   if (row.seekers.empty()) {
-    if (connection.backend().is_cancelled)
+    if (connection.backend().is_draining)
       connection.close();
     return;
   }
--- a/src/coordination/routing/delegated_gather.h
+++ b/src/coordination/routing/delegated_gather.h
@@ -14,16 +14,16 @@
 
 class DelegatedGatherWork final : public Requester {
  public:
-  class Ground : public virtual AttemptSender {
+  class Callbacks : public virtual AttemptSender {
    public:
-    virtual void send_gather_result(DelegatedGatherWork& work, GatherResult aided,
+    virtual void send_gather_result(DelegatedGatherWork& work, GatherResult result,
                                     TimePoint now) = 0;
   };
   struct Candidates {
     std::vector<BackendPointer> backends;
     int max_connections = 1;
   };
-  DelegatedGatherWork(Ground& ground, std::uint64_t token, std::vector<Candidates> parts,
+  DelegatedGatherWork(Callbacks& callbacks, std::uint64_t token, std::vector<Candidates> parts,
                       std::size_t best_count, Duration flush_after, Duration time_left,
                       TimePoint now);
 
@@ -42,26 +42,26 @@
     return !is_closed_;
   }
   TimePoint next_due() const override {
-    return has_flushed_ || !settled_ ? deadline_ : flush_at_;
+    return has_flushed_ || !finished_parts_ ? deadline_ : flush_at_;
   }
 
  private:
   struct Part {
     std::vector<const Backend*> tried;
-    bool is_settled = false;
+    bool is_finished = false;
   };
-  void ask(std::size_t index, TimePoint now);
-  void settle(std::size_t index, TimePoint now);
+  void start_attempt(std::size_t index, TimePoint now);
+  void finish_part(std::size_t index, TimePoint now);
   void flush(TimePoint now);
 
-  Ground& ground_;
+  Callbacks& callbacks_;
   std::uint64_t token_;
   std::vector<Candidates> candidates_;
   std::vector<Part> parts_;
-  std::size_t best_count_, settled_ = 0;
+  std::size_t best_count_, finished_parts_ = 0;
   TimePoint began_, flush_at_, deadline_;
-  BestRecords best_;
-  GatherResult next_;  // what goes out with the next frame
+  TopRecords top_records_;
+  GatherResult pending_result_;  // what goes out with the next frame
   bool has_flushed_ =
       false;  // from then on each part goes alone, so that the other side may drop any of them
   bool is_closed_ = false;
--- a/src/coordination/routing/proxied_request_delegation.cpp
+++ b/src/coordination/routing/proxied_request_delegation.cpp
@@ -6,17 +6,17 @@
 namespace saddlewing {
 
 void ProxiedRequest::start_delegation(TimePoint now) {
-  const Ground::Delegation taken = ground_.delegate(*this, further_delay(), now);
+  const Callbacks::Delegation taken = callbacks_.delegate(*this, hedge_delay(), now);
   for (const std::size_t index : taken.parts) {
     Part& part = parts_[index];
     for (const BackendPointer& backend : table_->by_service[part.service.value])
       if (backend->region == taken.region)
         part.tried.push_back(backend.get());  // any of them may be the one asked
     part.is_delegated = is_delegation_awaited_ = true;
-    part.sent = part.active = 1;
-    part.asked = now;
-    part.base_ms = taken.base_ms;
-    part.span_ms = taken.span_ms;
+    part.attempts_sent = part.attempts_active = 1;
+    part.attempted_at = now;
+    part.min_expected_ms = taken.min_expected_ms;
+    part.extra_expected_ms = taken.extra_expected_ms;
   }
 }
 
@@ -24,16 +24,16 @@
 void ProxiedRequest::give_up_delegation(TimePoint now) {
   if (route_.tries < 2)
     return;  // nobody else may be asked
-  const double reserve = ground_.reserve(now);
+  const double reserve = callbacks_.retry_reserve(now);
   for (const Part& part : parts_) {
     if (!part.is_delegated)
       continue;
     const auto& service = table_->configuration->services[part.service.value];
-    if (now - part.asked < further_delay(part) ||
-        !ground_.budget(service.name).allows_extra(now, reserve))
+    if (now - part.attempted_at < hedge_delay(part) ||
+        !callbacks_.retry_budget(service.name).allows_retry(now, reserve))
       return;
   }
-  ground_.delegation_is_late(*this, now);
+  callbacks_.handle_delegation_timeout(*this, now);
   lose_delegation(true, now);
 }
 
@@ -49,7 +49,7 @@
   }
 }
 
-void ProxiedRequest::handle_gather_result(GatherResult aided, Duration took, TimePoint now) {
+void ProxiedRequest::handle_gather_result(GatherResult result, Duration took, TimePoint now) {
   if (!is_open())
     return;
   is_delegation_awaited_ = false;
@@ -59,15 +59,15 @@
   // Records of several parts can't be told apart, so a frame counts only if every part in it is
   // still wanted.
   const bool is_wanted =
-      std::all_of(aided.done.begin(), aided.done.end(), [&](const GatherResult::Done& done) {
+      std::all_of(result.done.begin(), result.done.end(), [&](const GatherResult::Done& done) {
         return is_expected(done.part) && !parts_[done.part].is_done && !parts_[done.part].is_failed;
       });
-  if (is_wanted && !aided.done.empty()) {
-    best_.add(aided.records);
-    has_run_ = true;
-    ground_.pace(route_).see(static_cast<double>(took.count()));
+  if (is_wanted && !result.done.empty()) {
+    top_records_.add(result.records);
+    has_executed_ = true;
+    callbacks_.latency_estimate(route_).record(static_cast<double>(took.count()));
   }
-  for (GatherResult::Done& done : aided.done) {
+  for (GatherResult::Done& done : result.done) {
     if (!is_expected(done.part))
       continue;
     Part& part = parts_[done.part];
@@ -78,13 +78,13 @@
         return;
       continue;
     }
-    --part.active;
-    weigh(part, took);
+    --part.attempts_active;
+    record_relative_cost(part, took);
     part.is_done = true;
     ++done_;
     part.seal = std::move(done.seal);
   }
-  for (const GatherResult::Failed& failed : aided.failed) {
+  for (const GatherResult::Failed& failed : result.failed) {
     if (!is_expected(failed.part))
       continue;
     parts_[failed.part].is_delegated = false;
@@ -95,7 +95,7 @@
     if (!is_open())
       return;
   }
-  consider(now);
+  evaluate(now);
 }
 
 }  // namespace saddlewing
--- a/src/coordination/routing/record_merge.h
+++ b/src/coordination/routing/record_merge.h
@@ -9,29 +9,29 @@
 
 namespace saddlewing {
 
-class BestRecords {
+class TopRecords {
  public:
   static constexpr std::size_t record_size = 16;
-  explicit BestRecords(std::size_t limit) : max_(limit) {
+  explicit TopRecords(std::size_t limit) : limit_(limit) {
   }
 
   void add(std::string_view body) {
-    for (std::size_t at = 0; at + record_size <= body.size(); at += record_size) {
-      const Record record = read(body.data() + at);
+    for (std::size_t offset = 0; offset + record_size <= body.size(); offset += record_size) {
+      const Record record = read(body.data() + offset);
       if (is_full_ && !(floor_ < record))
         continue;
       kept_.push_back(record);
-      if (kept_.size() >= max_ * 2 + 64)
-        cut();
+      if (kept_.size() >= limit_ * 2 + 64)
+        prune();
     }
   }
   std::string take() {
-    cut();
+    prune();
     std::sort(kept_.begin(), kept_.end(),
               [](const Record& left, const Record& right) { return right < left; });
     std::string bytes(kept_.size() * record_size, '\0');
-    for (std::size_t at = 0; at < kept_.size(); ++at)
-      write(kept_[at], bytes.data() + at * record_size);
+    for (std::size_t offset = 0; offset < kept_.size(); ++offset)
+      write(kept_[offset], bytes.data() + offset * record_size);
     return bytes;
   }
 
@@ -43,35 +43,35 @@
       return high != other.high ? high < other.high : low < other.low;
     }
   };
-  static std::uint64_t swap(std::uint64_t value) {
+  static std::uint64_t swap_byte_order(std::uint64_t value) {
     return __builtin_bswap64(value);
   }
   static Record read(const char* bytes) {
     Record record;
     std::memcpy(&record.high, bytes, 8);
     std::memcpy(&record.low, bytes + 8, 8);
-    return {swap(record.high), swap(record.low)};
+    return {swap_byte_order(record.high), swap_byte_order(record.low)};
   }
   static void write(const Record& record, char* bytes) {
-    const std::uint64_t high = swap(record.high);
-    const std::uint64_t low = swap(record.low);
+    const std::uint64_t high = swap_byte_order(record.high);
+    const std::uint64_t low = swap_byte_order(record.low);
     std::memcpy(bytes, &high, 8);
     std::memcpy(bytes + 8, &low, 8);
   }
-  void cut() {
-    if (kept_.size() < max_)
+  void prune() {
+    if (kept_.size() < limit_)
       return;
-    std::nth_element(kept_.begin(), kept_.begin() + static_cast<std::ptrdiff_t>(max_ - 1),
+    std::nth_element(kept_.begin(), kept_.begin() + static_cast<std::ptrdiff_t>(limit_ - 1),
                      kept_.end(),
                      [](const Record& left, const Record& right) { return right < left; });
-    kept_.resize(max_);
+    kept_.resize(limit_);
     floor_ = kept_.back();
     is_full_ = true;
   }
 
-  std::size_t max_;
+  std::size_t limit_;
   std::vector<Record> kept_;
-  Record floor_{};  // of the records kept, once `max_` are there: a smaller one can't come in
+  Record floor_{};  // of the records kept, once `limit_` are there: a smaller one can't come in
   bool is_full_ = false;
 };
 
--- a/src/coordination/routing/requester.h
+++ b/src/coordination/routing/requester.h
@@ -17,7 +17,7 @@
 // How long parts take, for the moment at which a further asking pays.
 struct LatencyEstimate {
   double mean_ms = 0, deviation_ms = 0;
-  void see(double milliseconds) {
+  void record(double milliseconds) {
     if (mean_ms == 0) {
       mean_ms = milliseconds;
       deviation_ms = milliseconds / 2;
@@ -47,8 +47,8 @@
 class AttemptSender {
  public:
   virtual ~AttemptSender() = default;
-  virtual bool ask(Requester& requester, std::size_t part, Backend& backend,
-                   TimePoint now) = 0;  // false: not even begun
+  virtual bool send_attempt(Requester& requester, std::size_t part, Backend& backend,
+                            TimePoint now) = 0;  // false: not even begun
   virtual PickResult pick(
       const std::vector<BackendPointer>& backends, const std::vector<const Backend*>& tried,
       int max_connections, TimePoint now,
--- a/src/pooler/pooler_loop.cpp
+++ b/src/pooler/pooler_loop.cpp
@@ -93,9 +93,9 @@
                Health& health = health_[&backend];
                (is_fine ? health.fine : health.failing) = now;
                if (is_fine)
-                 backend.breaker.succeed();
+                 backend.breaker.record_success();
                else
-                 backend.breaker.fail(now, true), metrics().add(Metric::breakdowns);
+                 backend.breaker.record_failure(now, true), metrics().add(Metric::breakdowns);
                has_news_ = true;
              },
              [] { return Clock::now(); },
@@ -184,19 +184,19 @@
   view_ = std::move(view);
   std::map<std::string, BackendPointer> kept;
   for (const Endpoint& entry : view_->backends) {
-    BackendPointer backend = keep_backend(backends_, entry, settings_.zones, now);
+    BackendPointer backend = update_backend(backends_, entry, settings_.zones, now);
     if (!backend)
       continue;
-    if (backend->is_cancelled)
+    if (backend->is_draining)
       emptying_.try_emplace(entry.id, now);
     kept[entry.id] = std::move(backend);
   }
   for (const auto& [id, backend] : backends_) {
     if (!kept.contains(id)) {
-      backend->is_cancelled = true;
+      backend->is_draining = true;
       emptying_.erase(id);
       pool_.leave(*backend, false);
-    } else if (backend->is_cancelled) {
+    } else if (backend->is_draining) {
       pool_.leave(*backend, false);
     }
   }
@@ -333,7 +333,7 @@
   if (found == by_service_.end())
     return choice;
   for (const BackendPointer& backend : found->second) {
-    if (backend == choice.backend || backend->is_cancelled || backend->status != Status::up ||
+    if (backend == choice.backend || backend->is_draining || backend->status != Status::up ||
         backend->id == lead->id)
       continue;
     if (backend->breaker.is_open(now))
--- a/tests/coordination/placement/shard_migration_scenario.h
+++ b/tests/coordination/placement/shard_migration_scenario.h
@@ -272,11 +272,11 @@
     for (std::size_t position = 0; position < nodes.size(); ++position)
       if (request.is_gathered() || position == owner) {
         Backend& backend = broker.backends[position];
-        ++backend.asked;
+        ++backend.active_requests;
         if (request.is_heavy())
-          ++backend.heavy_asked;
+          ++backend.active_heavy_requests;
         else
-          backend.short_asked = now;
+          backend.last_short_request_at = now;
         const ShardNode& node = nodes[position];
         const TimePoint there = now + Duration(static_cast<std::int64_t>(node.way_ms / 2));
         auto& slot = *std::min_element(free_[position].begin(), free_[position].end());
@@ -318,11 +318,11 @@
   }
   void release(Broker& broker, const Flight& flight, const Flight::Leg& leg) {
     Backend& backend = broker.backends[leg.node];
-    --backend.asked;
+    --backend.active_requests;
     if (flight.request.is_heavy())
-      --backend.heavy_asked;
-    backend.foreign_load = std::max(0, load_[leg.node] - backend.asked);
-    backend.load_seen = now;
+      --backend.active_heavy_requests;
+    backend.reported_remote_load = std::max(0, load_[leg.node] - backend.active_requests);
+    backend.remote_load_reported_at = now;
   }
   void advance(Broker& broker) {
     std::vector<Flight> flights = std::exchange(broker.flights, {});
--- a/tests/coordination/routing/bulkhead_test.cpp
+++ b/tests/coordination/routing/bulkhead_test.cpp
@@ -25,11 +25,11 @@
 }  // namespace
 
 Test(bulkhead, what_is_heavy_is_learnt_and_does_not_flap) {
-  WorkClasses classes(2.5);
+  RouteCostClassifier classes(2.5);
   for (int count = 0; count < 40; ++count) {
-    classes.see("index", "pull", 30, 20000, start);
-    classes.see("index", "lookup", 5, 300, start);
-    classes.see("ledger", "check", 120, 300, start);
+    classes.record("index", "pull", 30, 20000, start);
+    classes.record("index", "lookup", 5, 300, start);
+    classes.record("ledger", "check", 120, 300, start);
   }
   cr_expect(classes.is_heavy("index", "pull", start) &&
             !classes.is_heavy("index", "lookup", start));
@@ -39,37 +39,39 @@
   // Waiting makes nothing heavy: most of these took long in a queue, and some show what the work
   // is.
   for (int count = 0; count < 60; ++count)
-    classes.see("index", "lookup", count % 5 ? 60 : 5, 300, start);
+    classes.record("index", "lookup", count % 5 ? 60 : 5, 300, start);
   cr_expect(!classes.is_heavy("index", "lookup", start));
   for (int count = 0; count < 400; ++count)
-    classes.see("index", "lookup", 5, 300, start), classes.see("index", "pull", 11, 300, start);
+    classes.record("index", "lookup", 5, 300, start),
+        classes.record("index", "pull", 11, 300, start);
   cr_expect(classes.is_heavy("index", "pull", start), "near the bound it stays what it was");
   for (int count = 0; count < 400; ++count)
-    classes.see("index", "pull", 6, 300, start);
+    classes.record("index", "pull", 6, 300, start);
   cr_expect(!classes.is_heavy("index", "pull", start));
-  WorkClasses off(0);
+  RouteCostClassifier off(0);
   for (int count = 0; count < 40; ++count)
-    off.see("index", "pull", 30, 0, start), off.see("index", "lookup", 5, 0, start);
+    off.record("index", "pull", 30, 0, start), off.record("index", "lookup", 5, 0, start);
   cr_expect(!off.is_on() && !off.is_heavy("index", "pull", start));
 }
 
 Test(bulkhead, heavy_ones_leave_a_slot_are_not_starved_and_use_what_is_idle) {
   Backend backend;
   backend.capacity = 3;
-  backend.short_asked = start;
-  backend.asked = backend.heavy_asked = 1;
+  backend.last_short_request_at = start;
+  backend.active_requests = backend.active_heavy_requests = 1;
   cr_expect(admits_heavy(backend, 5ms, 0ms, start));
-  backend.asked = backend.heavy_asked = 2;
+  backend.active_requests = backend.active_heavy_requests = 2;
   cr_expect(!admits_heavy(backend, 5ms, 0ms, start), "the last slot is for short ones");
   cr_expect(!admits_heavy(backend, 5ms, 900ms, start), "others of its kind are there");
   cr_expect(admits_heavy(backend, 5ms, 0ms, start + 10ms),
             "no short one came: it is not kept idle");
-  backend.heavy_asked = 0;
+  backend.active_heavy_requests = 0;
   cr_expect(!admits_heavy(backend, 5ms, 0ms, start) && admits_heavy(backend, 5ms, 20ms, start),
             "one in turn, after a wait");
-  backend.asked = 3;
+  backend.active_requests = 3;
   cr_expect(!admits_heavy(backend, 5ms, 900ms, start), "never in a line before short ones");
-  backend.asked = 1, backend.foreign_load = 2, backend.load_seen = start;
+  backend.active_requests = 1, backend.reported_remote_load = 2,
+  backend.remote_load_reported_at = start;
   cr_expect(!admits_heavy(backend, 5ms, 0ms, start), "what others have there counts");
   backend.capacity = 1;
   cr_expect(admits_heavy(backend, 5ms, 0ms, start), "with one slot order alone decides");
@@ -103,18 +105,18 @@
 Test(bulkhead, an_errand_that_must_wait_is_called_when_its_turn_comes) {
   RequestFixture stage(single);
   for (const auto& backend : stage.request->table().by_service[0])
-    backend->capacity = 2, backend->asked = 2, backend->heavy_asked = 1,
-    backend->short_asked = start;
+    backend->capacity = 2, backend->active_requests = 2, backend->active_heavy_requests = 1,
+    backend->last_short_request_at = start;
   stage.own_wish.is_heavy = true;
-  stage.own_wish.short_work = 5ms;
+  stage.own_wish.short_request_time = 5ms;
   stage.has_turns = true;
   stage.request->start(start);
   cr_expect(stage.asked.empty() && stage.turns_wanted == 1 &&
                 stage.request->next_due() == stage.request->deadline(),
             "no polling meanwhile");
   for (const auto& backend : stage.request->table().by_service[0])
-    backend->asked = backend->heavy_asked = 0;
-  stage.request->on_turn(start + 20ms);
+    backend->active_requests = backend->active_heavy_requests = 0;
+  stage.request->on_dequeued(start + 20ms);
   cr_expect(stage.asked.size() == 1);
   stage.take(0, RequestFixture::good("a"), start + 40ms);
   cr_expect(stage.answers == 1 && stage.status() == 200);
@@ -124,26 +126,26 @@
   auto backends = two_edges();
   LoadBalancer picker({"near", "here"}, 1);
   cr_expect(picker.pick(backends, {}, 10, start).backend->id == "near");
-  backends[0]->is_avoided = true;
+  backends[0]->is_ejected = true;
   cr_expect(picker.pick(backends, {}, 10, start).backend->id == "other");
-  backends[1]->is_cancelled = true;
+  backends[1]->is_draining = true;
   cr_expect(picker.pick(backends, {}, 10, start).backend->id == "near",
             "an avoided edge serves where no other is left");
-  backends[1]->is_cancelled = false;
+  backends[1]->is_draining = false;
   picker.set_influence(0);
   cr_expect(picker.pick(backends, {}, 10, start).backend->id == "near",
             "a view that faded out is none");
   picker.set_influence(1);
-  backends[0]->is_trying = true;
+  backends[0]->is_probing = true;
   PickConstraints wish;
   cr_expect(picker.pick(backends, {}, 10, start + 1s, wish).backend->id == "other",
             "risky ones and those in haste never try it");
-  wish.may_try = true;
+  wish.may_probe = true;
   cr_expect(picker.pick(backends, {}, 10, start + 1s, wish).backend->id == "near");
   cr_expect(picker.pick(backends, {}, 10, start + 1010ms, wish).backend->id == "other",
             "a trickle, no more");
-  backends[0]->is_avoided = false;
-  backends[0]->percent_kept = 30;
+  backends[0]->is_ejected = false;
+  backends[0]->kept_traffic_percent = 30;
   int kept = 0;
   for (int count = 0; count < 1000; ++count)
     kept += picker.pick(backends, {}, 10, start).backend->id == "near";
--- a/tests/coordination/routing/delegated_gather_test.cpp
+++ b/tests/coordination/routing/delegated_gather_test.cpp
@@ -95,7 +95,7 @@
 
 namespace {
 
-class DelegationFixture final : public DelegatedGatherWork::Ground {
+class DelegationFixture final : public DelegatedGatherWork::Callbacks {
  public:
   explicit DelegationFixture(std::size_t count = 3) {
     std::vector<DelegatedGatherWork::Candidates> parts(count);
@@ -109,7 +109,7 @@
                                                  start);
     work->start(start);
   }
-  bool ask(Requester&, std::size_t part, Backend&, TimePoint) override {
+  bool send_attempt(Requester&, std::size_t part, Backend&, TimePoint) override {
     asked.push_back(part);
     return true;
   }
--- a/tests/coordination/routing/load_balancer_test.cpp
+++ b/tests/coordination/routing/load_balancer_test.cpp
@@ -26,11 +26,11 @@
   for (TimePoint now = start; now < start + 60s; now += 10ms) {
     const bool is_busy = (now - start) % 20s < 8s;
     for (std::uint64_t count = draw() % (is_busy ? 5 : 2); count; --count) {
-      budget.count_request(now);
+      budget.record_request(now);
       requests.push_back(now);
     }
-    while (budget.allows_extra(now, 0)) {
-      budget.count_extra(now);
+    while (budget.allows_retry(now, 0)) {
+      budget.record_retry(now);
       extras.push_back(now);
     }
   }
@@ -49,15 +49,15 @@
 }
 
 Test(breaker, opens_after_breakdowns_and_lets_one_trial_through) {
-  Breaker breaker;
-  breaker.fail(start, false);
-  breaker.fail(start, false);
+  CircuitBreaker breaker;
+  breaker.record_failure(start, false);
+  breaker.record_failure(start, false);
   cr_expect(!breaker.is_open(start));
-  breaker.fail(start, false);
-  cr_expect(breaker.is_open(start) && breaker.is_on_trial(start + 500ms));
-  breaker.start_trial(start + 500ms);
+  breaker.record_failure(start, false);
+  cr_expect(breaker.is_open(start) && breaker.is_probe_due(start + 500ms));
+  breaker.start_probe(start + 500ms);
   cr_expect(breaker.is_open(start + 510ms));
-  breaker.succeed();
+  breaker.record_success();
   cr_expect(!breaker.is_open(start + 510ms));
 }
 
@@ -67,10 +67,10 @@
   for (int at = 0; at < 2; ++at) {
     backends.push_back(std::make_shared<Backend>());
     backends.back()->status = Status::up;
-    backends.back()->breaker.fail(start, true);
+    backends.back()->breaker.record_failure(start, true);
   }
   cr_expect(picker.pick(backends, {}, 10, start).backend != nullptr);
-  backends[0]->is_cancelled = backends[1]->is_cancelled = true;
+  backends[0]->is_draining = backends[1]->is_draining = true;
   cr_expect(picker.pick(backends, {}, 10, start).backend == nullptr);
 }
 
@@ -89,22 +89,22 @@
   // than it allows.
   std::map<std::string, int> kept;
   for (int broker = 0; broker < 58; ++broker) {
-    choose_own(backends, {"l", "r"}, "10.0.0." + std::to_string(broker) + ":7000", 20, 58);
+    choose_subset(backends, {"l", "r"}, "10.0.0." + std::to_string(broker) + ":7000", 20, 58);
     int own = 0;
     for (const auto& backend : backends)
-      own += backend->is_own, kept[backend->id] += backend->is_own;
-    cr_expect(own == 1 && backends[0]->is_scarce);
+      own += backend->is_in_subset, kept[backend->id] += backend->is_in_subset;
+    cr_expect(own == 1 && backends[0]->has_scarce_connections);
   }
   for (const auto& [id, count] : kept)
     cr_expect(count <= 26, "%s: %d", id.c_str(), count);
   Backend* own = nullptr;
   for (const auto& backend : backends)
-    if (backend->is_own)
+    if (backend->is_in_subset)
       own = backend.get();
   LoadBalancer picker({"l", "r"}, 1);
   cr_expect(picker.pick(backends, {}, 1, now).backend == own);
   cr_expect(picker.pick(backends, {own}, 1, now + 20ms).backend != nullptr,
             "a second asking goes elsewhere");
-  choose_own(backends, {"l", "r"}, "10.0.0.1:7000", 200, 58);
-  cr_expect(!backends[0]->is_scarce);
+  choose_subset(backends, {"l", "r"}, "10.0.0.1:7000", 200, 58);
+  cr_expect(!backends[0]->has_scarce_connections);
 }
--- a/tests/coordination/routing/proxied_request_test.cpp
+++ b/tests/coordination/routing/proxied_request_test.cpp
@@ -166,9 +166,9 @@
     const std::size_t asked = stage.asked.size();
     cr_assert(asked == (route == single ? 2 : 8), "each part was asked a second time");
     cr_assert(stage.request->may_restart(0, start + 151ms));
-    stage.request->give_way(0);
+    stage.request->close_for_restart(0);
     RequestFixture again(route, 4, 3);
-    again.request->start_again(*stage.request, start + 152ms);
+    again.request->restart_from(*stage.request, start + 152ms);
     for (TimePoint now = start + 160ms; now < start + 900ms; now += 100ms)
       again.request->on_due(now);
     std::map<std::size_t, int> per_part;
--- a/tests/coordination/routing/request_fixture.h
+++ b/tests/coordination/routing/request_fixture.h
@@ -11,7 +11,7 @@
 inline constexpr TimePoint start = TimePoint{} + 1000s;
 
 // Stands where an errand acts: notes what it asks, and what it answers.
-class RequestFixture final : public ProxiedRequest::Ground {
+class RequestFixture final : public ProxiedRequest::Callbacks {
  public:
   struct Asked {
     std::size_t part;
@@ -25,7 +25,7 @@
     ConfigurationSnapshot snapshot;
     const Error found = read_configuration(body, snapshot);
     cr_assert(!found, "%s", found.text().c_str());
-    auto table = std::make_shared<Table>();
+    auto table = std::make_shared<RoutingTable>();
     table->configuration = snapshot;
     table->by_service.resize(snapshot->services.size());
     for (std::size_t service = 0; service < table->by_service.size(); ++service)
@@ -41,18 +41,18 @@
     request =
         std::make_unique<ProxiedRequest>(*this, table_, snapshot->routes[0], start, Duration(1000));
   }
-  bool ask(Requester&, std::size_t part, Backend& backend, TimePoint) override {
+  bool send_attempt(Requester&, std::size_t part, Backend& backend, TimePoint) override {
     asked.push_back({part, &backend});
     return true;
   }
-  void answer(ProxiedRequest&, FinalAnswer answer, TimePoint) override {
+  void send_response(ProxiedRequest&, FinalResponse answer, TimePoint) override {
     ++answers;
     final = std::move(answer);
   }
-  RetryBudget& budget(const std::string& service) override {
+  RetryBudget& retry_budget(const std::string& service) override {
     return budgets_.try_emplace(service, Duration(10000), 0.2).first->second;
   }
-  double reserve(TimePoint) override {
+  double retry_reserve(TimePoint) override {
     return extra_reserve;
   }
   PickResult pick(const std::vector<BackendPointer>& backends,
@@ -63,20 +63,20 @@
   Delegation delegate(ProxiedRequest&, Duration, TimePoint) override {
     return {delegated_parts, "far"};
   }
-  void delegation_is_late(ProxiedRequest&, TimePoint) override {
+  void handle_delegation_timeout(ProxiedRequest&, TimePoint) override {
     ++missed_aids;
   }
-  PickConstraints wish(const ProxiedRequest&, const std::string&, TimePoint) override {
+  PickConstraints pick_constraints(const ProxiedRequest&, const std::string&, TimePoint) override {
     return own_wish;
   }
-  bool wait_turn(ProxiedRequest&, TimePoint) override {
+  bool enqueue(ProxiedRequest&, TimePoint) override {
     ++turns_wanted;
     return has_turns;
   }
-  LatencyEstimate& pace(const Route&) override {
+  LatencyEstimate& latency_estimate(const Route&) override {
     return pace_;
   }
-  double draw() override {
+  double random_fraction() override {
     return 0.5;
   }
 
@@ -94,11 +94,11 @@
   }
   void cancel_service(std::size_t service) {
     for (const BackendPointer& backend : table_->by_service[service])
-      backend->is_cancelled = true;
+      backend->is_draining = true;
   }
 
   std::vector<Asked> asked;
-  FinalAnswer final;
+  FinalResponse final;
   int answers = 0, missed_aids = 0;
   std::vector<std::size_t> delegated_parts;
   double extra_reserve = 10;
@@ -108,7 +108,7 @@
   std::unique_ptr<ProxiedRequest> request;
 
  private:
-  TableSnapshot table_;
+  RoutingTableSnapshot table_;
   std::map<std::string, RetryBudget> budgets_;
   LoadBalancer picker_{{"", ""}, 1};
   LatencyEstimate pace_;
--- a/tests/protocol/carried_format_test.cpp
+++ b/tests/protocol/carried_format_test.cpp
@@ -235,7 +235,7 @@
 
 // Records of a gather: each its sixteen bytes, the greatest first.
 Test(carried_format, gathered_records) {
-  BestRecords best(2);
+  TopRecords best(2);
   best.add(
       "0000000000000001"
       "0000000000000003"
