--- a/src/broker/broker_loop.h
+++ b/src/broker/broker_loop.h
@@ -12,6 +12,7 @@
 #include "coordination/routing/alerts.h"
 #include "coordination/routing/bulkhead.h"
 #include "coordination/routing/delegated_gather.h"
+#include "coordination/routing/fair_queue.h"
 #include "coordination/routing/proxied_request.h"
 #include "transport/http_client_connection.h"
 #include "transport/http_server.h"
--- a/tests/coordination/placement/shard_migration_scenario.h
+++ b/tests/coordination/placement/shard_migration_scenario.h
@@ -10,6 +10,7 @@
 
 #include "coordination/placement/shard_node_fixture.h"
 #include "coordination/routing/bulkhead.h"
+#include "coordination/routing/fair_queue.h"
 
 namespace saddlewing::tests {
 
--- a/tests/coordination/routing/bulkhead_test.cpp
+++ b/tests/coordination/routing/bulkhead_test.cpp
@@ -1,6 +1,7 @@
 // Heavy requests beside short ones: what is heavy, which slot is left, whose turn it is; and the
 // shared view in the pick.
 #include "coordination/routing/bulkhead.h"
+#include "coordination/routing/fair_queue.h"
 #include "coordination/routing/request_fixture.h"
 
 using namespace saddlewing;
