--- a/src/coordination/routing/delegated_gather.cpp
+++ b/src/coordination/routing/delegated_gather.cpp
@@ -1,6 +1,16 @@
 #include "coordination/routing/delegated_gather.h"
 
+#include <algorithm>
+
 namespace saddlewing {
+namespace {
+
+// Parts that take this much longer than the first half of them are stragglers: per cent of the time
+// that half took, and milliseconds on top.
+constexpr int straggler_percent = 60;
+constexpr Duration straggler_slack{8};
+
+}  // namespace
 
 DelegatedGatherWork::DelegatedGatherWork(Callbacks& callbacks, std::uint64_t token,
                                          std::vector<Candidates> parts, std::size_t best_count,
@@ -27,32 +37,24 @@
   for (;;) {
     const PickResult picked =
         callbacks_.pick(candidates.backends, part.tried, candidates.max_connections, now, {});
-    if (!picked.backend) {
-      pending_result_.failed.push_back(
-          {index, static_cast<std::uint64_t>(ErrorCode::nobody_up), false});
-      return finish_part(index, now);
-    }
+    if (!picked.backend)
+      return fail_part(index, ErrorCode::nobody_up, false, now);
     part.tried.push_back(picked.backend);
     if (callbacks_.send_attempt(*this, index, *picked.backend, now))
       return;
   }
 }
 
-void DelegatedGatherWork::handle_response(std::size_t index, BackendResponse outcome, Duration,
+void DelegatedGatherWork::handle_response(std::size_t index, BackendResponse response, Duration,
                                           TimePoint now) {
   if (!is_open() || parts_[index].is_finished)
     return;
-  const bool is_success = outcome.status >= 200 && outcome.status < 300 && !outcome.is_not_run;
-  if (is_success) {
-    pending_result_.done.push_back({index, std::move(outcome.seal)});
-    top_records_.add(outcome.body);
-  } else {
-    pending_result_.failed.push_back(
-        {index,
-         static_cast<std::uint64_t>(outcome.is_not_run ? ErrorCode::turned_away
-                                                       : ErrorCode::garbled),
-         true});
-  }
+  if (response.is_not_run)
+    return fail_part(index, ErrorCode::turned_away, true, now);
+  if (response.status < 200 || response.status >= 300)
+    return fail_part(index, ErrorCode::garbled, true, now);
+  pending_result_.done.push_back({index, std::move(response.seal)});
+  top_records_.add(response.body);
   finish_part(index, now);
 }
 
@@ -60,9 +62,14 @@
                                          TimePoint now) {
   if (!is_open() || parts_[index].is_finished)
     return;
-  if (!may_have_run)
-    return start_attempt(index, now);  // nobody was reached, so another one is no further try
-  pending_result_.failed.push_back({index, static_cast<std::uint64_t>(kind), true});
+  if (may_have_run)
+    return fail_part(index, kind, true, now);
+  start_attempt(index, now);  // nobody was reached, so another attempt is no retry
+}
+
+void DelegatedGatherWork::fail_part(std::size_t index, ErrorCode kind, bool may_have_run,
+                                    TimePoint now) {
+  pending_result_.failed.push_back({index, static_cast<std::uint64_t>(kind), may_have_run});
   finish_part(index, now);
 }
 
@@ -71,9 +78,11 @@
   // Parts of one request take about alike, so those that come much later than half of them are
   // stragglers, and do not hold the others back.
   if (!has_flushed_ && finished_parts_ + 1 == (parts_.size() + 1) / 2)
-    flush_at_ = std::min(flush_at_, now + (now - began_) * 6 / 10 + 8ms);
-  // A frame with nothing in it would only start further askings, so the first part is waited for.
-  if (++finished_parts_ == parts_.size() || has_flushed_ || now >= flush_at_)
+    flush_at_ =
+        std::min(flush_at_, now + (now - began_) * straggler_percent / 100 + straggler_slack);
+  ++finished_parts_;
+  // An empty frame would only start further attempts, so the first frame waits for a part.
+  if (finished_parts_ == parts_.size() || has_flushed_ || now >= flush_at_)
     flush(now);
 }
 
@@ -96,7 +105,7 @@
     is_closed_ = true;
     return;
   }
-  if (!has_flushed_ && finished_parts_ && now >= flush_at_)
+  if (!has_flushed_ && finished_parts_ > 0 && now >= flush_at_)
     flush(now);
 }
 
