--- a/tests/coordination/routing/bulkhead_test.cpp
+++ b/tests/coordination/routing/bulkhead_test.cpp
@@ -78,7 +78,7 @@
   cr_expect(admits_heavy(backend, 5ms, 0ms, start), "with one slot order alone decides");
 }
 
-Test(bulkhead, turns_go_by_rank_then_by_weight_and_deadline) {
+Test(bulkhead, queue_goes_by_priority_then_by_weight_and_deadline) {
   FairQueue<int> queue(5, 2);
   queue.push(1, 1, true, start + 1s);
   queue.push(2, 1, false, start + 9s);
@@ -103,79 +103,80 @@
   cr_expect(turns == std::vector<int>({1, 2, 8, 3, 4, 9, 5}), "two short ones, then a heavy one");
 }
 
-Test(bulkhead, an_errand_that_must_wait_is_called_when_its_turn_comes) {
-  RequestFixture stage(single);
-  for (const auto& backend : stage.request->table().by_service[0])
+Test(bulkhead, a_request_that_must_wait_is_called_when_its_turn_comes) {
+  RequestFixture fixture(single);
+  for (const auto& backend : fixture.request->table().by_service[0])
     backend->capacity = 2, backend->active_requests = 2, backend->active_heavy_requests = 1,
     backend->last_short_request_at = start;
-  stage.own_wish.is_heavy = true;
-  stage.own_wish.short_request_time = 5ms;
-  stage.has_turns = true;
-  stage.request->start(start);
-  cr_expect(stage.asked.empty() && stage.turns_wanted == 1 &&
-                stage.request->next_due() == stage.request->deadline(),
+  fixture.constraints.is_heavy = true;
+  fixture.constraints.short_request_time = 5ms;
+  fixture.accepts_enqueue = true;
+  fixture.request->start(start);
+  cr_expect(fixture.attempts.empty() && fixture.enqueue_calls == 1 &&
+                fixture.request->next_due() == fixture.request->deadline(),
             "no polling meanwhile");
-  for (const auto& backend : stage.request->table().by_service[0])
+  for (const auto& backend : fixture.request->table().by_service[0])
     backend->active_requests = backend->active_heavy_requests = 0;
-  stage.request->on_dequeued(start + 20ms);
-  cr_expect(stage.asked.size() == 1);
-  stage.take(0, RequestFixture::good("a"), start + 40ms);
-  cr_expect(stage.answers == 1 && stage.status() == 200);
+  fixture.request->on_dequeued(start + 20ms);
+  cr_expect(fixture.attempts.size() == 1);
+  fixture.deliver_response(0, RequestFixture::success_response("a"), start + 40ms);
+  cr_expect(fixture.responses == 1 && fixture.status() == 200);
 }
 
-Test(pick, the_shared_view_orders_and_never_forbids) {
+Test(load_balancer, outlier_ejection_orders_and_never_forbids) {
   auto backends = two_edges();
-  LoadBalancer picker({"near", "here"}, 1);
-  cr_expect(picker.pick(backends, {}, 10, start).backend->id == "near");
+  LoadBalancer load_balancer({"near", "here"}, 1);
+  cr_expect(load_balancer.pick(backends, {}, 10, start).backend->id == "near");
   backends[0]->is_ejected = true;
-  cr_expect(picker.pick(backends, {}, 10, start).backend->id == "other");
+  cr_expect(load_balancer.pick(backends, {}, 10, start).backend->id == "other");
   backends[1]->is_draining = true;
-  cr_expect(picker.pick(backends, {}, 10, start).backend->id == "near",
+  cr_expect(load_balancer.pick(backends, {}, 10, start).backend->id == "near",
             "an avoided edge serves where no other is left");
   backends[1]->is_draining = false;
-  picker.set_influence(0);
-  cr_expect(picker.pick(backends, {}, 10, start).backend->id == "near",
+  load_balancer.set_influence(0);
+  cr_expect(load_balancer.pick(backends, {}, 10, start).backend->id == "near",
             "a view that faded out is none");
-  picker.set_influence(1);
+  load_balancer.set_influence(1);
   backends[0]->is_probing = true;
-  PickConstraints wish;
-  cr_expect(picker.pick(backends, {}, 10, start + 1s, wish).backend->id == "other",
+  PickConstraints constraints;
+  cr_expect(load_balancer.pick(backends, {}, 10, start + 1s, constraints).backend->id == "other",
             "risky ones and those in haste never try it");
-  wish.may_probe = true;
-  cr_expect(picker.pick(backends, {}, 10, start + 1s, wish).backend->id == "near");
-  cr_expect(picker.pick(backends, {}, 10, start + 1010ms, wish).backend->id == "other",
-            "a trickle, no more");
+  constraints.may_probe = true;
+  cr_expect(load_balancer.pick(backends, {}, 10, start + 1s, constraints).backend->id == "near");
+  cr_expect(
+      load_balancer.pick(backends, {}, 10, start + 1010ms, constraints).backend->id == "other",
+      "a trickle, no more");
   backends[0]->is_ejected = false;
   backends[0]->kept_traffic_percent = 30;
   int kept = 0;
   for (int count = 0; count < 1000; ++count)
-    kept += picker.pick(backends, {}, 10, start).backend->id == "near";
+    kept += load_balancer.pick(backends, {}, 10, start).backend->id == "near";
   cr_expect(kept > 220 && kept < 380, "%d", kept);
 }
 
-Test(pick, large_answers_cross_zones_less_readily_than_small_ones) {
+Test(load_balancer, large_responses_cross_zones_less_readily_than_small_ones) {
   auto backends = two_edges();
-  LoadBalancer picker({"near", "here"}, 1);
+  LoadBalancer load_balancer({"near", "here"}, 1);
   for (int count = 0; count < 50; ++count)
     backends[0]->record_response(20, 13000), backends[1]->record_response(11, 13000);
-  cr_expect(picker.pick(backends, {}, 10, start).backend->id == "near");
+  cr_expect(load_balancer.pick(backends, {}, 10, start).backend->id == "near");
   for (int count = 0; count < 50; ++count)
     backends[1]->record_response(11, 300);
-  cr_expect(picker.pick(backends, {}, 10, start).backend->id == "other");
+  cr_expect(load_balancer.pick(backends, {}, 10, start).backend->id == "other");
 }
 
-Test(request, may_start_anew_only_while_nothing_risky_has_run_and_the_allowance_covers_it) {
+Test(request, may_restart_only_while_nothing_risky_has_run_and_the_budget_covers_it) {
   RequestFixture harmless(single);
   RequestFixture once(risky);
   RequestFixture poor(single);
-  for (RequestFixture* stage : {&harmless, &once, &poor})
-    stage->request->start(start);
+  for (RequestFixture* fixture : {&harmless, &once, &poor})
+    fixture->request->start(start);
   cr_expect(
       harmless.request->may_restart(0, start + 10ms) && once.request->may_restart(0, start + 10ms),
       "the asking turned away is all there is");
-  poor.extra_reserve = 0;
+  poor.reserve = 0;
   cr_expect(!poor.request->may_restart(0, start + 10ms), "no allowance");
   cr_expect(!harmless.request->may_restart(0, start + 990ms), "too late");
-  once.take(0, RequestFixture::good("a"));
+  once.deliver_response(0, RequestFixture::success_response("a"));
   cr_expect(!once.request->may_restart(0, start + 30ms), "it is over");
 }
--- a/tests/coordination/routing/load_balancer_test.cpp
+++ b/tests/coordination/routing/load_balancer_test.cpp
@@ -15,7 +15,7 @@
 
 // Whatever the load and however the moments fall, extras of any span stay within the share of its
 // requests.
-Test(budget, extras_never_exceed_the_share_in_any_span) {
+Test(retry_budget, retries_never_exceed_the_ratio_in_any_window) {
   RetryBudget budget(Duration(10000), 0.2);
   std::vector<TimePoint> requests;
   std::vector<TimePoint> extras;
@@ -48,7 +48,7 @@
   }
 }
 
-Test(breaker, opens_after_breakdowns_and_lets_one_trial_through) {
+Test(circuit_breaker, opens_after_failures_and_lets_one_probe_through) {
   CircuitBreaker breaker;
   breaker.record_failure(start, false);
   breaker.record_failure(start, false);
@@ -61,20 +61,20 @@
   cr_expect(!breaker.is_open(start + 510ms));
 }
 
-Test(picker, breakers_alone_never_empty_a_shard) {
-  LoadBalancer picker({"", ""}, 1);
+Test(load_balancer, breakers_alone_never_empty_a_shard) {
+  LoadBalancer load_balancer({"", ""}, 1);
   std::vector<BackendPointer> backends;
   for (int at = 0; at < 2; ++at) {
     backends.push_back(std::make_shared<Backend>());
     backends.back()->status = Status::up;
     backends.back()->breaker.record_failure(start, true);
   }
-  cr_expect(picker.pick(backends, {}, 10, start).backend != nullptr);
+  cr_expect(load_balancer.pick(backends, {}, 10, start).backend != nullptr);
   backends[0]->is_draining = backends[1]->is_draining = true;
-  cr_expect(picker.pick(backends, {}, 10, start).backend == nullptr);
+  cr_expect(load_balancer.pick(backends, {}, 10, start).backend == nullptr);
 }
 
-Test(picker, where_connections_are_scarce_each_broker_keeps_to_its_own) {
+Test(load_balancer, where_connections_are_scarce_each_broker_keeps_to_its_own) {
   const TimePoint now = TimePoint{} + 1000s;
   std::vector<BackendPointer> backends;
   for (int index = 0; index < 4; ++index) {
@@ -101,9 +101,9 @@
   for (const auto& backend : backends)
     if (backend->is_in_subset)
       own = backend.get();
-  LoadBalancer picker({"l", "r"}, 1);
-  cr_expect(picker.pick(backends, {}, 1, now).backend == own);
-  cr_expect(picker.pick(backends, {own}, 1, now + 20ms).backend != nullptr,
+  LoadBalancer load_balancer({"l", "r"}, 1);
+  cr_expect(load_balancer.pick(backends, {}, 1, now).backend == own);
+  cr_expect(load_balancer.pick(backends, {own}, 1, now + 20ms).backend != nullptr,
             "a second asking goes elsewhere");
   choose_subset(backends, {"l", "r"}, "10.0.0.1:7000", 200, 58);
   cr_expect(!backends[0]->has_scarce_connections);
--- a/tests/coordination/routing/request_fixture.h
+++ b/tests/coordination/routing/request_fixture.h
@@ -13,7 +13,7 @@
 // Stands where an errand acts: notes what it asks, and what it answers.
 class RequestFixture final : public ProxiedRequest::Callbacks {
  public:
-  struct Asked {
+  struct SentAttempt {
     std::size_t part;
     Backend* backend;
   };
@@ -42,76 +42,77 @@
         std::make_unique<ProxiedRequest>(*this, table_, snapshot->routes[0], start, Duration(1000));
   }
   bool send_attempt(Requester&, std::size_t part, Backend& backend, TimePoint) override {
-    asked.push_back({part, &backend});
+    attempts.push_back({part, &backend});
     return true;
   }
-  void send_response(ProxiedRequest&, FinalResponse answer, TimePoint) override {
-    ++answers;
-    final = std::move(answer);
+  void send_response(ProxiedRequest&, FinalResponse response, TimePoint) override {
+    ++responses;
+    final = std::move(response);
   }
   RetryBudget& retry_budget(const std::string& service) override {
     return budgets_.try_emplace(service, Duration(10000), 0.2).first->second;
   }
   double retry_reserve(TimePoint) override {
-    return extra_reserve;
+    return reserve;
   }
   PickResult pick(const std::vector<BackendPointer>& backends,
                   const std::vector<const Backend*>& tried, int, TimePoint now,
-                  const PickConstraints& wish) override {
-    return picker_.pick(backends, tried, 1000, now, wish);
+                  const PickConstraints& constraints) override {
+    return load_balancer_.pick(backends, tried, 1000, now, constraints);
   }
   Delegation delegate(ProxiedRequest&, Duration, TimePoint) override {
     return {delegated_parts, "far"};
   }
   void handle_delegation_timeout(ProxiedRequest&, TimePoint) override {
-    ++missed_aids;
+    ++delegation_timeouts;
   }
   PickConstraints pick_constraints(const ProxiedRequest&, const std::string&, TimePoint) override {
-    return own_wish;
+    return constraints;
   }
   bool enqueue(ProxiedRequest&, TimePoint) override {
-    ++turns_wanted;
-    return has_turns;
+    ++enqueue_calls;
+    return accepts_enqueue;
   }
   LatencyEstimate& latency_estimate(const Route&) override {
-    return pace_;
+    return latency_estimate_;
   }
   double random_fraction() override {
     return 0.5;
   }
 
-  static BackendResponse good(const std::string& seal, const std::string& body = "") {
+  static BackendResponse success_response(const std::string& seal, const std::string& body = "") {
     return {200, false, "OK", "", seal, body};
   }
-  static BackendResponse failed(int status, bool is_not_run) {
+  static BackendResponse failure_response(int status, bool is_not_run) {
     return {status, is_not_run, "Bad", "X: y\r\n", "q", "failure"};
   }
-  void take(std::size_t part, BackendResponse outcome, TimePoint now = start + 20ms) const {
+  void deliver_response(std::size_t part, BackendResponse outcome,
+                        TimePoint now = start + 20ms) const {
     request->handle_response(part, std::move(outcome), Duration(20), now);
   }
   int status() const {
     return final.kind == ErrorCode::none ? final.status : status_of(final.kind).status;
   }
-  void cancel_service(std::size_t service) {
+  void drain_service(std::size_t service) {
     for (const BackendPointer& backend : table_->by_service[service])
       backend->is_draining = true;
   }
 
-  std::vector<Asked> asked;
+  std::vector<SentAttempt> attempts;
   FinalResponse final;
-  int answers = 0, missed_aids = 0;
+  int responses = 0, delegation_timeouts = 0;
   std::vector<std::size_t> delegated_parts;
-  double extra_reserve = 10;
-  PickConstraints own_wish;
-  bool has_turns = false;
-  int turns_wanted = 0;
+  double reserve = 10;
+  PickConstraints constraints;
+  bool accepts_enqueue = false;
+  int enqueue_calls = 0;
   std::unique_ptr<ProxiedRequest> request;
 
  private:
   RoutingTableSnapshot table_;
   std::map<std::string, RetryBudget> budgets_;
-  LoadBalancer picker_{{"", ""}, 1};
-  LatencyEstimate pace_;
+  LoadBalancer load_balancer_{{"", ""}, 1};
+  LatencyEstimate latency_estimate_;
 };
 
 inline const char single[] = R"("sort":"harmless","service":"s0")";
