--- a/tests/coordination/routing/bulkhead_test.cpp
+++ b/tests/coordination/routing/bulkhead_test.cpp
@@ -1,4 +1,4 @@
-// Heavy requests beside short ones: what is heavy, which slot is left, whose turn it is; and the
+// Bulkheads: which routes are heavy, which slot is left, whose turn it is; and the
 // shared view in the pick.
 #include "coordination/routing/bulkhead.h"
 #include "coordination/routing/fair_queue.h"
@@ -50,8 +50,10 @@
     classes.record("index", "pull", 6, 300, start);
   cr_expect(!classes.is_heavy("index", "pull", start));
   RouteCostClassifier off(0);
-  for (int count = 0; count < 40; ++count)
-    off.record("index", "pull", 30, 0, start), off.record("index", "lookup", 5, 0, start);
+  for (int count = 0; count < 40; ++count) {
+    off.record("index", "pull", 30, 0, start);
+    off.record("index", "lookup", 5, 0, start);
+  }
   cr_expect(!off.is_on() && !off.is_heavy("index", "pull", start));
 }
 
@@ -96,7 +98,8 @@
   FairQueue<int> weighted(10, 2);
   for (int light = 1; light <= 5; ++light)
     weighted.push(light, 0, false, start + light * 1s);
-  weighted.push(8, 0, true, start), weighted.push(9, 0, true, start + 1s);
+  weighted.push(8, 0, true, start);
+  weighted.push(9, 0, true, start + 1s);
   turns.clear();
   while (weighted.pop(next))
     turns.push_back(next);
--- a/tests/coordination/routing/delegated_gather_test.cpp
+++ b/tests/coordination/routing/delegated_gather_test.cpp
@@ -77,7 +77,8 @@
   cr_expect(fixture.attempts.size() == 4);
 }
 
-// A straggler's part, sent alone after the first frame, is dropped when a direct asking was faster.
+// A straggler's part, sent alone after the first frame, is dropped when a direct attempt was
+// faster.
 Test(request, of_a_straggler_attempted_directly_only_one_part_counts) {
   RequestFixture fixture(gathered);
   fixture.delegated_parts = {0, 1, 2, 3};
@@ -188,9 +189,9 @@
   cr_expect(fixture.status() == 200);
 }
 
-// An aid and its asker, each asking by its own clock, frames late or lost, parts that succeed, are
-// turned away, break off, reach nobody or stay silent: what may have run of a part is never more
-// than its tries, and no record stands for two.
+// Two brokers of a delegated gather, each by its own clock, frames late or lost, parts that
+// succeed, are turned away, break off, reach nobody or stay silent: what may have run of a part is
+// never more than its tries, and no record stands for two.
 Test(delegated_gather, summed_over_both_brokers_no_part_is_on_more_backends_than_its_tries) {
   enum Fate {
     success_response,
--- a/tests/coordination/routing/proxied_request_test.cpp
+++ b/tests/coordination/routing/proxied_request_test.cpp
@@ -159,7 +159,7 @@
   cr_expect(fixture.responses == 0);
 }
 
-// Begun anew as often as it may be, its askings that may have run are never more than its tries;
+// Restarted as often as it may be, its attempts that may have run are never more than its tries;
 // refused ones don't count.
 Test(request, restarted_it_keeps_to_the_tries_of_all_its_rounds) {
   for (const char* route : {single, gathered}) {
--- a/tests/coordination/routing/request_fixture.h
+++ b/tests/coordination/routing/request_fixture.h
@@ -1,5 +1,5 @@
 #pragma once
-// Where errands are tried: notes what they ask and answer, without sockets or clock.
+// A broker as a request sees it, without sockets or clock: records the attempts and the response.
 #include <criterion/criterion.h>
 
 #include <map>
@@ -10,7 +10,7 @@
 
 inline constexpr TimePoint start = TimePoint{} + 1000s;
 
-// Stands where an errand acts: notes what it asks, and what it answers.
+// Implements the callbacks of one request and records what it sends.
 class RequestFixture final : public ProxiedRequest::Callbacks {
  public:
   struct SentAttempt {
