--- a/src/coordination/routing/bulkhead.h
+++ b/src/coordination/routing/bulkhead.h
@@ -1,164 +1,145 @@
 #pragma once
-// Heavy requests beside short ones: which routes are heavy is learnt, and at each backend they
-// leave a slot to the short ones. Pure.
+// Bulkheads between heavy and short requests: learns which routes are heavy at a service, and
+// keeps a slot of each backend free for short requests.
+//
+// Pure: the caller reports response times and asks before it sends. It doesn't queue the requests
+// that aren't admitted (see fair_queue.h). Not thread-safe: one instance belongs to one event loop.
 #include <algorithm>
 #include <cstdint>
 #include <map>
 #include <string>
-#include <vector>
 
-#include "coordination/routing/load_balancer.h"
+#include "coordination/routing/backend.h"
 
 namespace saddlewing {
 
-// What the requests of each route take at each service, fading.
-class WorkClasses {
+// Estimates what the requests of each route cost at each service, and tells heavy routes from
+// short ones by it.
+class RouteCostClassifier {
  public:
-  // `times`: so many times the work of the lightest route at the same service makes a route heavy;
-  // 0: none ever is.
-  explicit WorkClasses(double times) : times_(times) {
+  // `heavy_ratio`: a route is heavy if it costs more than so many times the lightest route at the
+  // same service. 0: no route ever is.
+  explicit RouteCostClassifier(double heavy_ratio) : heavy_ratio_(heavy_ratio) {
   }
+
+  // Whether any route can be heavy.
   bool is_on() const {
-    return times_ > 0;
+    return heavy_ratio_ > 0;
   }
-  void see(const std::string& service, const std::string& route, double milliseconds, double bytes,
-           TimePoint now) {
-    auto& rows = by_service_[service];
-    if (rows.size() >= max_routes && !rows.contains(route))
+
+  // Reports a response. `milliseconds`: from the request's sending to its response's end.
+  // `bytes`: size of the response body. Routes beyond `max_routes` of a service are ignored.
+  void record(const std::string& service, const std::string& route, double milliseconds,
+              double bytes, TimePoint now) {
+    auto& routes = by_service_[service];
+    if (routes.size() >= max_routes && !routes.contains(route))
       return;
-    Row& row = rows[route];
-    // Near the least: what is beyond it was mostly waiting, and waiting must not make a route
-    // heavy.
-    row.work_ms = row.seen == TimePoint{}
-                      ? milliseconds
-                      : row.work_ms + (milliseconds - row.work_ms) *
-                                          (milliseconds < row.work_ms ? 0.3 : 0.02);
-    row.bytes = row.seen == TimePoint{} ? bytes : row.bytes + (bytes - row.bytes) * 0.05;
-    row.seen = now;
-    row.count = std::min(row.count + 1, min_seen);
+    RouteCost& cost = routes[route];
+    const bool is_first = cost.last_seen == TimePoint{};
+    if (is_first) {
+      cost.work_ms = milliseconds;
+      cost.mean_bytes = bytes;
+    } else {
+      const double weight = milliseconds < cost.work_ms ? weight_of_faster : weight_of_slower;
+      cost.work_ms = cost.work_ms + (milliseconds - cost.work_ms) * weight;
+      cost.mean_bytes = cost.mean_bytes + (bytes - cost.mean_bytes) * weight_of_bytes;
+    }
+    cost.last_seen = now;
+    cost.samples = std::min(cost.samples + 1, min_samples);
   }
+
+  // Whether a request of this route is heavy at this service. False while fewer than `min_samples`
+  // responses are known. Remembers its result: a route that was heavy stays so for a little less.
   bool is_heavy(const std::string& service, const std::string& route, TimePoint now) {
     const auto found = by_service_.find(service);
-    if (times_ <= 0 || found == by_service_.end())
+    if (heavy_ratio_ <= 0 || found == by_service_.end())
       return false;
     const auto own = found->second.find(route);
-    if (own == found->second.end() || own->second.count < min_seen)
+    if (own == found->second.end() || own->second.samples < min_samples)
       return false;
-    double lightest = own->second.cost();
-    for (const auto& [name, row] : found->second)
-      if (row.count >= min_seen && now - row.seen < remembered)
-        lightest = std::min(lightest, row.cost());
-    const double bound = times_ * lightest * (own->second.is_heavy ? stays : 1);
-    return own->second.is_heavy = own->second.cost() > bound;
+    RouteCost& own_cost = own->second;
+    double lightest_ms = own_cost.total_ms();
+    for (const auto& [name, cost] : found->second)
+      if (cost.samples >= min_samples && now - cost.last_seen < route_memory)
+        lightest_ms = std::min(lightest_ms, cost.total_ms());
+    const double hysteresis = own_cost.is_heavy ? heavy_exit_factor : 1;
+    const double threshold_ms = heavy_ratio_ * lightest_ms * hysteresis;
+    own_cost.is_heavy = own_cost.total_ms() > threshold_ms;
+    return own_cost.is_heavy;
   }
-  // Of the lightest route there, in milliseconds; how long a slot is kept for the next short one.
-  Duration short_work(const std::string& service, TimePoint now) const {
+
+  // The time that the fastest route at this service takes, in milliseconds, rounded up; 1 ms if
+  // none is known. So long a slot is kept for the next short request.
+  Duration short_request_time(const std::string& service, TimePoint now) const {
     const auto found = by_service_.find(service);
-    double minimum = 0;
+    double least_ms = 0;
     if (found != by_service_.end())
-      for (const auto& [name, row] : found->second)
-        if (now - row.seen < remembered && (minimum == 0 || row.work_ms < minimum))
-          minimum = row.work_ms;
-    return Duration(static_cast<std::int64_t>(minimum + 1));
+      for (const auto& [name, cost] : found->second)
+        if (now - cost.last_seen < route_memory && (least_ms == 0 || cost.work_ms < least_ms))
+          least_ms = cost.work_ms;
+    return Duration(static_cast<std::int64_t>(least_ms + 1));
   }
 
  private:
+  // Routes known per service: bounds the memory.
   static constexpr std::size_t max_routes = 64;
-  static constexpr int min_seen = 16;
-  static constexpr double stays = 0.75, bytes_in_a_ms = 20000;
-  static constexpr Duration remembered{30000};
-  struct Row {
-    double work_ms = 0, bytes = 0;
-    TimePoint seen{};
-    int count = 0;
-    bool is_heavy = false;
-    double cost() const {
-      return std::max(0.5, work_ms) + bytes / bytes_in_a_ms;
+  // Responses before a route is classified: fewer say little.
+  static constexpr int min_samples = 16;
+  // Weight of a response in the moving estimate of a route's work. Near the least: what is beyond
+  // it was mostly waiting, and waiting must not make a route heavy.
+  static constexpr double weight_of_faster = 0.3;
+  static constexpr double weight_of_slower = 0.02;
+  static constexpr double weight_of_bytes = 0.05;
+  // Factor on the threshold under which a heavy route becomes a short one again: less than 1, so
+  // that a route near the threshold doesn't alternate.
+  static constexpr double heavy_exit_factor = 0.75;
+  // Response bytes that cost as much as a millisecond of work.
+  static constexpr double bytes_per_ms = 20000;
+  // Least work of any route in milliseconds: under it ratios are noise.
+  static constexpr double min_work_ms = 0.5;
+  // After so long without a response, in milliseconds, a route no longer counts as the lightest.
+  static constexpr Duration route_memory{30000};
+
+  struct RouteCost {
+    double work_ms = 0;     // near the least of the response times
+    double mean_bytes = 0;  // of the response bodies
+    TimePoint last_seen{};  // the epoch: no response yet
+    int samples = 0;        // up to min_samples
+    bool is_heavy = false;  // as last classified
+
+    double total_ms() const {
+      return std::max(min_work_ms, work_ms) + mean_bytes / bytes_per_ms;
     }
   };
-  double times_;
-  std::map<std::string, std::map<std::string, Row>> by_service_;
+
+  double heavy_ratio_;
+  std::map<std::string, std::map<std::string, RouteCost>> by_service_;  // then by route
 };
 
-// Whether a heavy request may go to a backend now. Short ones always may.
-// Invariant: where short ones come by, a heavy one takes the last free slot only if no other heavy
-// one is there or has waited its turn; without short ones no slot is kept free for longer than
-// their work takes.
-inline bool admits_heavy(const Backend& backend, Duration short_work, Duration waited,
+// Multiple of a short request's time without a short one after which no slot is kept for them.
+inline constexpr int reserved_slot_times = 2;
+// Multiple of a short request's time after which a queued heavy request may take the last slot.
+inline constexpr int heavy_wait_times = 4;
+
+// Whether a heavy request may go to `backend` now. Short ones always may.
+// `short_request_time`: see RouteCostClassifier. `time_queued`: how long the request has waited.
+//
+// Invariant: while short requests arrive, a heavy one takes the last free slot only if no other
+// heavy one is there and it has waited its turn; without short ones no slot is kept free for
+// longer than their work takes.
+inline bool admits_heavy(const Backend& backend, Duration short_request_time, Duration time_queued,
                          TimePoint now) {
   if (backend.capacity <= 1)
-    return true;  // order alone decides
+    return true;  // there is no slot to keep: the queue's order alone decides
   const double in_use =
-      std::max<double>(backend.asked, backend.asked + backend.load_of_others(now));
+      std::max<double>(backend.active_requests, backend.active_requests + backend.remote_load(now));
   if (in_use < backend.capacity - 1)
     return true;
-  if (now - backend.short_asked >= short_work + short_work)
-    return in_use < backend.capacity;
-  return in_use < backend.capacity && backend.heavy_asked == 0 && waited >= short_work * 4;
-}
-
-// In which order those that wait in a broker get their turns: by rank, and within a rank short and
-// heavy ones by weighted turns, each by deadline. Bounded.
-template <class Item>
-class FairQueue {
- public:
-  FairQueue(std::size_t limit, int short_turns) : max_(limit), short_turns_(short_turns) {
-  }
-  bool is_empty() const {
-    return size_ == 0;
-  }
-  std::size_t size() const {
-    return size_;
-  }
-  // False: it is full of what goes before this.
-  bool push(Item item, int rank, bool is_heavy, TimePoint deadline) {
-    if (size_ >= max_ && (ranks_.empty() || ranks_.rbegin()->first <= rank))
-      return false;
-    auto& lines = ranks_[rank];
-    (is_heavy ? lines.heavy : lines.light).emplace(deadline, std::move(item));
-    ++size_;
-    return true;
-  }
-  // The one that an arrival of a higher rank displaced; call it while over the bound.
-  bool pop_last(Item& item) {
-    if (size_ <= max_ || ranks_.empty())
-      return false;
-    auto& [rank, lines] = *ranks_.rbegin();
-    auto& line = lines.heavy.empty() ? lines.light : lines.heavy;
-    const auto last = std::prev(line.end());
-    item = std::move(last->second);
-    line.erase(last);
-    drop_empty(rank);
-    return true;
-  }
-  bool pop(Item& item) {
-    if (ranks_.empty())
-      return false;
-    auto& [rank, lines] = *ranks_.begin();
-    const bool is_heavy =
-        lines.light.empty() || (!lines.heavy.empty() && lines.light_turns >= short_turns_);
-    lines.light_turns = is_heavy ? 0 : lines.light_turns + 1;
-    auto& line = is_heavy ? lines.heavy : lines.light;
-    item = std::move(line.begin()->second);
-    line.erase(line.begin());
-    drop_empty(rank);
+  if (in_use >= backend.capacity)
+    return false;
+  if (now - backend.last_short_request_at >= short_request_time * reserved_slot_times)
     return true;
-  }
-
- private:
-  struct FairQueueLines {
-    std::multimap<TimePoint, Item> light, heavy;
-    int light_turns = 0;
-  };
-  void drop_empty(int rank) {
-    --size_;
-    const auto found = ranks_.find(rank);
-    if (found->second.light.empty() && found->second.heavy.empty())
-      ranks_.erase(found);
-  }
-  std::size_t max_, size_ = 0;
-  int short_turns_;
-  std::map<int, FairQueueLines> ranks_;
-};
+  return backend.active_heavy_requests == 0 && time_queued >= short_request_time * heavy_wait_times;
+}
 
 }  // namespace saddlewing
--- a/src/coordination/routing/load_balancer.h
+++ b/src/coordination/routing/load_balancer.h
@@ -1,154 +1,99 @@
 #pragma once
-// A broker's view of the backends, and the pick among them.
+// Picks the backend of an attempt: the least expected response time, with slow start, locality,
+// connection subsets, circuit breakers, bulkheads and outlier ejection.
+//
+// It sends nothing and opens no connection; the caller reports what it sends and what comes back
+// in the Backend. Not thread-safe: one instance belongs to one event loop.
 #include <map>
 #include <memory>
 #include <random>
 #include <string>
+#include <utility>
 #include <vector>
 
+#include "coordination/routing/backend.h"
 #include "protocol/frames.h"
 #include "state/configuration.h"
-#include "state/node_settings.h"
 #include "state/types.h"
 
 namespace saddlewing {
 
-// Opens after repeated breakdowns, lets one trial through when its pause is over.
-class Breaker {
- public:
-  void succeed() {
-    breakdowns_ = 0, pause_ = first_pause, is_open_ = false;
-  }
-  void fail(TimePoint now, bool is_plain) {  // plain: nothing was heard at all, as of a dead host
-    breakdowns_ += is_plain ? max_breakdowns : 1;
-    if (breakdowns_ < max_breakdowns)
-      return;
-    if (is_open_ && now < until_)
-      return;
-    pause_ = is_open_ ? std::min(pause_ * 2, max_pause) : first_pause;
-    is_open_ = true;
-    until_ = now + pause_;
-  }
-  bool is_open(TimePoint now) const {
-    return is_open_ && now < until_;
-  }
-  bool is_on_trial(TimePoint now) const {
-    return is_open_ && now >= until_;
-  }
-  void start_trial(TimePoint now) {
-    until_ = now + pause_;
-  }  // the others wait for its end
-  TimePoint until() const {
-    return until_;
-  }
-
- private:
-  static constexpr int max_breakdowns = 3;
-  static constexpr Duration first_pause{400}, max_pause{3000};
-  int breakdowns_ = 0;
-  Duration pause_ = first_pause;
-  bool is_open_ = false;
-  TimePoint until_{};
-};
-
-struct Backend {
-  std::string id, service, zone, region;
-  Address address;
-  int capacity = 1;
-  Status status = Status::starting;
-  TimePoint warm_until{};
-  bool is_cancelled =
-      false;  // emptying or gone: nothing more is sent, whatever snapshot an errand began with
+// The backend of a registry entry: the one in `known` with its id, or else a new one, brought to
+// the entry's status and phase. Null if the entry is new and its address can't be parsed.
+// `known`: backends by id. `zones`: the region of each zone; a zone not in it is its own region.
+BackendPointer update_backend(const std::map<std::string, BackendPointer>& known,
+                              const Endpoint& entry,
+                              const std::map<std::string, std::string>& zones, TimePoint now);
 
-  int asked = 0;  // own requests at work there
-  TimePoint last_asked{};
-  int connections = 0;
-  bool is_own = true;       // of those this broker keeps connections to; see choose_own
-  bool is_scarce = false;   // its connections do not suffice for every broker: others than its own
-                            // use it for a moment only
-  TimePoint warm_after{};   // no connection is opened in advance before
-  double foreign_load = 0;  // requests of others there, as last told
-  TimePoint load_seen{};
-  int heavy_asked = 0;      // own heavy requests at work there
-  TimePoint short_asked{};  // when the last short one left
-  // What others have there, fading from the moment it was told.
-  double load_of_others(TimePoint now) const {
-    constexpr double fades_ms = 300;
-    const double age = std::chrono::duration<double, std::milli>(now - load_seen).count();
-    return age < fades_ms ? foreign_load * (1 - age / fades_ms) : 0;
-  }
-  double mean_ms = 0;  // of its outcomes; 0: none yet
-  double min_ms = 0;   // near the least of them: mostly the way there and back
-  // By the shared view of edges, see coordination/edges.h:
-  bool is_avoided = false, is_preferred = false, is_trying = false;
-  unsigned percent_kept = 100;
-  TimePoint trial_due{};  // when this broker next tries it although it is avoided
-  Breaker breaker;
-  double mean_bytes = 0;  // of its answers
-  void record_response(double milliseconds, double bytes = 0) {
-    mean_bytes = mean_bytes == 0 ? bytes : mean_bytes * 0.9 + bytes * 0.1;
-    min_ms = mean_ms == 0 || milliseconds < min_ms ? milliseconds
-                                                   : min_ms + (milliseconds - min_ms) * 0.01;
-    mean_ms = mean_ms == 0 ? milliseconds : mean_ms * 0.9 + milliseconds * 0.1;
-  }
-};
-using BackendPointer = std::shared_ptr<Backend>;
-
-// The backend of a roster's entry: the one known already, or a new one; null if its address is no
-// address. Its state is the entry's from now on.
-BackendPointer keep_backend(const std::map<std::string, BackendPointer>& known,
-                            const Endpoint& entry, const std::map<std::string, std::string>& zones,
-                            TimePoint now);
-
-// The table of one moment: a configuration and who serves it. Immutable, swapped whole.
-struct Table {
+// A configuration and the backends that serve it, as of one moment. Immutable and replaced as a
+// whole; the backends' own state changes.
+struct RoutingTable {
   ConfigurationSnapshot configuration;
   std::vector<std::vector<BackendPointer>> by_service;  // by ServiceIndex
 };
-using TableSnapshot = std::shared_ptr<const Table>;
+using RoutingTableSnapshot = std::shared_ptr<const RoutingTable>;
 
+// The locality that requests are sent from.
 struct PickOrigin {
-  std::string zone, region;
+  std::string zone;
+  std::string region;
 };
 
-// Of one service's backends, those that the broker of this address keeps to: the nearest, and among
-// them a choice that differs by broker, as many as its part of all the connections allowed makes up
-// (at least one). So the connections kept grow with the traffic's parts, not with brokers times
-// backends.
-void choose_own(const std::vector<BackendPointer>& backends, const PickOrigin& position,
-                const std::string& address, int max_connections, int brokers);
+// Chooses the subset of one service's backends that the broker at `address` keeps connections to
+// (Backend::is_in_subset): the nearest ones, and of those a choice that differs by broker. Its size
+// is the broker's part of all connections allowed, at least one. So the number of connections kept
+// grows with the traffic, not with brokers times backends.
+// `max_connections`: allowed to one backend, of all brokers together. `brokers`: how many there
+// are.
+void choose_subset(const std::vector<BackendPointer>& backends, const PickOrigin& origin,
+                   const std::string& address, int max_connections, int brokers);
 
 struct PickResult {
-  Backend* backend = nullptr;
-  bool is_full = false;  // somebody could serve, but every connection allowed is in use
+  Backend* backend = nullptr;  // null: none can be used now; owned by the list picked from
+  // A backend could serve, but its connections or the slots for heavy requests are in use: it pays
+  // to wait.
+  bool is_full = false;
 };
 
 // What the pick needs to know of the request.
 struct PickConstraints {
-  bool is_heavy = false;
-  Duration short_work{0}, waited{0};  // of the short requests there; of this one so far
-  bool may_try = false;               // harmless and with time left: it may try an avoided edge
+  bool is_heavy = false;           // must be admitted by the bulkhead; see admits_heavy
+  Duration short_request_time{0};  // of the service, for the bulkhead; only if is_heavy
+  Duration time_queued{0};         // of this request so far, for the bulkhead; only if is_heavy
+  bool may_probe = false;  // safe to repeat and with time left: may probe an ejected backend
 };
 
-// The least expected time among UP backends; STARTING ones only where none is UP.
 class LoadBalancer {
  public:
-  LoadBalancer(PickOrigin position, std::uint64_t draw)
-      : position_(std::move(position)), draw_(draw) {
+  // `seed`: of the random numbers that spread requests over backends of equal cost.
+  LoadBalancer(PickOrigin origin, std::uint64_t seed) : origin_(std::move(origin)), random_(seed) {
   }
+
+  // How much outlier detection counts: from 1, wholly, to 0, not at all, as its data ages.
   void set_influence(double influence) {
     influence_ = influence;
-  }  // of the shared view: 1 whole, 0 none
+  }
+
+  // Picks the backend of least cost among those that are up; among those that are starting only
+  // where none is up. Backends in `tried` are left out. Where circuit breakers alone leave none,
+  // the one whose probe is due first is picked.
+  // `max_connections`: own requests allowed at one backend.
+  // Takes the turn of a probe if it picks one: the next is due later.
   PickResult pick(const std::vector<BackendPointer>& backends,
                   const std::vector<const Backend*>& tried, int max_connections, TimePoint now,
-                  const PickConstraints& wish = {});
+                  const PickConstraints& constraints = {});
 
  private:
-  double cost(const Backend& backend, TimePoint now) const;
-  double edge_cost(const Backend& backend, const PickConstraints& wish, TimePoint now);
+  // Expected response time in milliseconds, with penalties for locality and subset.
+  double expected_cost_ms(const Backend& backend, TimePoint now) const;
+  // What outlier detection adds, in milliseconds. Draws a random number if traffic is shed.
+  double outlier_cost_ms(const Backend& backend, const PickConstraints& constraints, TimePoint now);
+  // A factor from 1 up to 1 + 1/16 that spreads requests over backends of about equal cost.
+  double random_spread();
+
   double influence_ = 1;
-  PickOrigin position_;
-  std::minstd_rand draw_;
+  PickOrigin origin_;
+  std::minstd_rand random_;
 };
 
 }  // namespace saddlewing
--- a/src/pooler/pooler_loop.cpp
+++ b/src/pooler/pooler_loop.cpp
@@ -83,9 +83,9 @@
                Health& health = health_[&backend];
                (is_fine ? health.fine : health.failing) = now;
                if (is_fine)
-                 backend.breaker.succeed();
+                 backend.breaker.record_success();
                else
-                 backend.breaker.fail(now, true), metrics().add(Metric::failed_attempts);
+                 backend.breaker.record_failure(now, true), metrics().add(Metric::failed_attempts);
                has_news_ = true;
              },
              [] { return Clock::now(); },
--- a/tests/coordination/placement/scenario_broker.h
+++ b/tests/coordination/placement/scenario_broker.h
@@ -9,6 +9,7 @@
 #include "coordination/placement/scenario_recorder.h"
 #include "coordination/placement/shard_node_fixture.h"
 #include "coordination/routing/bulkhead.h"
+#include "coordination/routing/fair_queue.h"
 
 namespace saddlewing::tests {
 
--- a/tests/protocol/cluster_status_test.cpp
+++ b/tests/protocol/cluster_status_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-ClusterStatus status_of(Cluster& cluster, const std::string& address) {
+ClusterStatus status_line_of(Cluster& cluster, const std::string& address) {
   return cluster.at(address).raft->status(cluster.now());
 }
 
@@ -40,7 +40,7 @@
     cr_assert(cluster.run_until([&] { return cluster.is_done(leader, token); }));
   }
   cluster.run(400ms);
-  const ClusterStatus status = status_of(cluster, leader);
+  const ClusterStatus status = status_line_of(cluster, leader);
   cr_expect(status.role == ClusterStatus::Role::leader && status.is_confirmed && status.is_voter &&
             status.leader == leader);
   cr_expect(status.has_committed && status.version == Version{4} &&
@@ -66,14 +66,14 @@
   cr_assert(cluster.run_until([&] { return cluster.is_done(outgoing, token); }));
   cluster.cut(outgoing);
   cluster.run(3000ms);
-  const ClusterStatus alone = status_of(cluster, outgoing);
+  const ClusterStatus alone = status_line_of(cluster, outgoing);
   cr_expect(!alone.is_confirmed && alone.role != ClusterStatus::Role::leader &&
             alone.leader.empty());
   cr_expect(alone.has_committed && alone.version == Version{1});
   for (const std::string& address : cluster.founders()) {
     if (address == outgoing)
       continue;
-    const ClusterStatus status = status_of(cluster, address);
+    const ClusterStatus status = status_line_of(cluster, address);
     cr_expect(status.is_confirmed && status.leader == cluster.leader() && status.term > alone.term);
   }
 }
@@ -83,7 +83,7 @@
   cr_assert(cluster.run_until([&] { return cluster.has_leader(); }));
   const std::string leader = cluster.leader();
   cluster.run(500ms);
-  const ClusterStatus status = status_of(cluster, other_than(cluster, leader));
+  const ClusterStatus status = status_line_of(cluster, other_than(cluster, leader));
   cr_expect(status.role == ClusterStatus::Role::follower && status.leader == leader &&
             status.leader_last_contact < 200);
   cr_expect(status.last == status.leader_last);
@@ -99,17 +99,17 @@
   node.is_stuck = true;
   cluster.propose(1, "one");
   cluster.run(1500ms);
-  ClusterStatus status = status_of(cluster, slow);
+  ClusterStatus status = status_line_of(cluster, slow);
   cr_expect(status.is_save_stuck && status.saving > 700 && !status.is_save_failing);
   cr_assert(node.pending.has_value());
   const std::uint64_t serial = node.pending->serial;
   node.pending.reset();
   node.raft->handle_save_result(serial, false, cluster.now());
-  status = status_of(cluster, slow);
+  status = status_line_of(cluster, slow);
   cr_expect(status.is_save_failing && !status.is_save_stuck && status.saving == 0);
   node.is_stuck = false;
   cluster.run(1000ms);
-  status = status_of(cluster, slow);
+  status = status_line_of(cluster, slow);
   cr_expect(!status.is_save_failing && !status.is_save_stuck && status.version == Version{1});
 }
 
