--- a/src/broker/backend_connection.cpp
+++ b/src/broker/backend_connection.cpp
@@ -143,8 +143,8 @@
 
 void BackendConnection::read_load(const Poco::Net::HTTPResponse& response, TimePoint now) {
   int running = 0, waiting = 0, slots = 0;
-  if (std::sscanf(response.get(field::server_load, "").c_str(), "%d,%d,%d", &running, &waiting,
-                  &slots) != 3)
+  if (std::sscanf(response.get(header_name::server_load, "").c_str(), "%d,%d,%d", &running,
+                  &waiting, &slots) != 3)
     return;
   // What it told still counts the outcome just given.
   backend_->foreign_load = std::max(0, running + waiting - 1 - (backend_->asked - 1));
@@ -159,17 +159,18 @@
     return on_idle_end(caller);
   BackendResponse outcome;
   outcome.status = response.getStatus();
-  outcome.is_not_run = response.has(field::not_run) || outcome.status == 421;
-  outcome.seal = response.get(field::seal, "");
+  outcome.is_not_run = response.has(header_name::not_run) || outcome.status == 421;
+  outcome.seal = response.get(header_name::answer_checksum, "");
   read_load(response, now);
   const bool is_success = outcome.status >= 200 && outcome.status < 300;
   // Without an id only a refusal is believed, and only where no earlier request can have left it
   // behind. Behind a surplus answer no refusal is: what was passed over may have been to this
   // request.
-  const bool is_own = response.get(field::try_id, outcome.is_not_run && caller.is_beyond_doubt()
-                                                      ? context_->try_id
-                                                      : "") == context_->try_id &&
-                      !(outcome.is_not_run && caller.has_passed_over());
+  const bool is_own =
+      response.get(header_name::try_id,
+                   outcome.is_not_run && caller.is_beyond_doubt() ? context_->try_id : "") ==
+          context_->try_id &&
+      !(outcome.is_not_run && caller.has_passed_over());
   // A success without its seal, or an answer that does not say whose it is, is none.
   if (!is_own || (is_success &&
                   (outcome.seal.empty() || outcome.seal.find_first_of(", ") != std::string::npos ||
--- a/src/broker/broker_delegated_gather.cpp
+++ b/src/broker/broker_delegated_gather.cpp
@@ -23,8 +23,8 @@
 }
 
 bool BrokerLoop::is_near(const Backend& backend, const std::string& region, TimePoint now) const {
-  return !backend.is_cancelled && backend.status == Status::up && backend.region == region &&
-         !backend.breaker.is_open(now);
+  return !backend.is_cancelled && backend.status == EndpointStatus::up &&
+         backend.region == region && !backend.breaker.is_open(now);
 }
 
 ProxiedRequest::Ground::Delegation BrokerLoop::delegate(ProxiedRequest& proxied_request,
@@ -104,8 +104,9 @@
     aid.services.push_back(
         proxied_request.table().configuration->services[shards[index].value].name);
   const std::string from = Address{settings_.ip_address, settings_.own_port}.text();
-  if (!send_(DelegationMessage{best->address, aid.token,
-                               encode(FrameHead{FrameKind::aid, incarnation_, from}, aid)}))
+  if (!send_(
+          DelegationMessage{best->address, aid.token,
+                            encode(FrameHead{FrameKind::gather_request, incarnation_, from}, aid)}))
     return {};
   ++aide.under_way;
   delegations_[aid.token] = {&proxied_request, best->address, now, best_parts};
@@ -154,14 +155,14 @@
     const auto position = [&](std::uint64_t& part) {
       part = part < parts.size() ? parts[part] : ~0ull;
     };
-    for (GatherResult::Done& done : came->aided.done)
+    for (GatherResult::CompletedPart& done : came->aided.done)
       position(done.part);
-    for (GatherResult::Failed& failed : came->aided.failed)
+    for (GatherResult::FailedPart& failed : came->aided.failed)
       position(failed.part);
     aide.breaker.succeed();
     count_edge("", region_of_delegate(call->second.to), EdgeClass::light, took, false);
-    const double way =
-        std::max(0.0, static_cast<double>(took.count()) - static_cast<double>(came->aided.held));
+    const double way = std::max(
+        0.0, static_cast<double>(took.count()) - static_cast<double>(came->aided.processing_time));
     aide.way_ms = aide.way_ms == 0 ? way : aide.way_ms * 0.9 + way * 0.1;
     aide.mean_ms = aide.mean_ms == 0 ? static_cast<double>(took.count())
                                      : aide.mean_ms * 0.9 + static_cast<double>(took.count()) * 0.1;
@@ -178,7 +179,7 @@
   context->routing_id = std::move(in.routing_id);
   context->method = std::move(aid.method);
   context->try_id = std::move(aid.try_id);
-  context->head_start = std::move(aid.head_start);
+  context->head_start = std::move(aid.request_head);
   context->body = std::move(aid.body);
   std::vector<DelegatedGatherWork::Candidates> parts;
   for (const std::string& service : aid.services) {
@@ -214,7 +215,7 @@
     return;
   const std::string from = Address{settings_.ip_address, settings_.own_port}.text();
   send_(DelegationMessage{context->second->routing_id, 0,
-                          encode(FrameHead{FrameKind::aided, incarnation_, from}, aided)});
+                          encode(FrameHead{FrameKind::gather_result, incarnation_, from}, aided)});
 }
 
 }  // namespace saddlewing
--- a/src/broker/broker_loop.cpp
+++ b/src/broker/broker_loop.cpp
@@ -42,12 +42,13 @@
   std::string head = request.getMethod() + " " + request.getURI() + " HTTP/1.1\r\n";
   const std::string nominated = "," + lower(request.get("Connection", "")) + ",";
   for (const auto& [name, value] : request) {
-    if (is_hop_field(name) || is_same_name(name, field::time_left) ||
-        is_same_name(name, field::meant_server) || is_same_name(name, field::ring_revision) ||
-        is_same_name(name, field::ring_show) || is_same_name(name, field::ring_hide))
+    if (is_hop_field(name) || is_same_name(name, header_name::time_left) ||
+        is_same_name(name, header_name::target_server) ||
+        is_same_name(name, header_name::ring_revision) ||
+        is_same_name(name, header_name::ring_show) || is_same_name(name, header_name::ring_hide))
       continue;
     if (nominated.size() > 2 && nominated.find(lower(name)) != std::string::npos &&
-        !is_same_name(name, "Host") && !is_same_name(name, field::try_id))
+        !is_same_name(name, "Host") && !is_same_name(name, header_name::try_id))
       continue;
     ((head += name) += ": ") += value + "\r\n";
   }
@@ -64,10 +65,10 @@
   if (index == view.map.nodes.size())
     return {};
   std::string fields =
-      std::string(field::ring_revision) + ": " + std::to_string(view.revision) + "\r\n";
+      std::string(header_name::ring_revision) + ": " + std::to_string(view.revision) + "\r\n";
   if (const auto told = view.tellings.find(index); told != view.tellings.end())
-    fields += std::string(told->second.is_shown ? field::ring_show : field::ring_hide) + ": " +
-              told->second.unit.text() + "\r\n";
+    fields += std::string(told->second.is_shown ? header_name::ring_show : header_name::ring_hide) +
+              ": " + told->second.unit.text() + "\r\n";
   return fields;
 }
 
@@ -233,7 +234,7 @@
     return exchange.answer(std::move(reply), now);
   }
   auto context = std::make_shared<RequestContext>(*this, exchange.id());
-  context->try_id = request.get(field::try_id, "");
+  context->try_id = request.get(header_name::try_id, "");
   if (context->try_id.empty())
     return exchange.answer(reply_of(ErrorCode::malformed, "a request needs its Try-Id"), now);
   std::optional<ServiceIndex> placed;
@@ -244,7 +245,8 @@
   context->method = request.getMethod();
   context->head_start = start_head(request, exchange.body().size());
   context->body = std::move(exchange.body());
-  const Duration time_left = parse_time_left(request.get(field::time_left, ""), route->give_up);
+  const Duration time_left =
+      parse_time_left(request.get(header_name::time_left, ""), route->give_up);
   auto proxied_request =
       std::make_unique<ProxiedRequest>(*this, table_, *route, exchange.began(), time_left);
   if (placed)
@@ -300,8 +302,8 @@
 std::string BrokerLoop::head_for(const RequestContext& context, const Backend& backend,
                                  TimePoint now) const {
   const auto left = std::max<std::int64_t>(1, elapsed(now, context.requester->deadline()).count());
-  std::string head = context.head_start + field::time_left + ": " + std::to_string(left) + "\r\n" +
-                     field::meant_server + ": " + backend.id + "\r\n";
+  std::string head = context.head_start + header_name::time_left + ": " + std::to_string(left) +
+                     "\r\n" + header_name::target_server + ": " + backend.id + "\r\n";
   if (context.ring)
     head += ring_fields(*context.ring, backend.service);
   return head + "\r\n";
@@ -359,7 +361,7 @@
              std::move(answer.body)};
     reply.is_bodiless = context->method == "HEAD" && !proxied_request.is_gathering();
     if (proxied_request.is_gathering())
-      reply.fields += std::string(field::try_id) + ": " + context->try_id + "\r\n";
+      reply.fields += std::string(header_name::try_id) + ": " + context->try_id + "\r\n";
   }
   exchange->answer(std::move(reply), now);
 }
@@ -446,12 +448,12 @@
 
 void BrokerLoop::Readiness::on_request(ServerExchange& exchange, TimePoint now) {
   const std::string& target = exchange.request().getURI();
-  if (target == row_of(Call::metrics).path) {
+  if (target == row_of(HttpCall::metrics).path) {
     traffic_.show_gauges();
     return exchange.answer(
         {200, "OK", "Content-Type: text/plain; version=0.0.4\r\n", metrics().page()}, now);
   }
-  if (target.substr(0, target.find('?')) != row_of(Call::readiness).path)
+  if (target.substr(0, target.find('?')) != row_of(HttpCall::readiness).path)
     return exchange.answer(reply_of(ErrorCode::no_route), now);
   if (traffic_.is_ready())
     return exchange.answer({200, "OK", "", "ready\n"}, now);
--- a/src/commands/cluster_status.cpp
+++ b/src/commands/cluster_status.cpp
@@ -44,7 +44,7 @@
       handles.push_back(client->handle());
       if (now - asked[contact] < ask_again * 3)
         continue;
-      if (client->send(encode_core_status_request({FrameKind::cluster_status_request, {}, {}})))
+      if (client->send(encode_cluster_status_request({FrameKind::cluster_status_request, {}, {}})))
         asked[contact] = now;
       else
         is_connecting = true;
--- a/src/commands/edges.cpp
+++ b/src/commands/edges.cpp
@@ -4,8 +4,8 @@
 #include <cstdio>
 #include <iostream>
 
-#include "commands/operator_client.h"
 #include "commands/commands.h"
+#include "commands/operator_client.h"
 #include "state/node_settings.h"
 
 namespace saddlewing {
@@ -36,7 +36,7 @@
 }  // namespace
 
 int run_edges(const std::vector<std::string>& contacts, bool is_json, int wait_ms) {
-  RingAnswer answer;
+  RingReply answer;
   if (!ask_leader(contacts, RingCall{"edges", {}}, Duration(wait_ms), answer)) {
     std::cerr << "edges: no registry that leads answered within " << wait_ms << " ms\n";
     return failed;
--- a/src/commands/operator_client.cpp
+++ b/src/commands/operator_client.cpp
@@ -11,7 +11,7 @@
 }  // namespace
 
 bool ask_leader(const std::vector<std::string>& contacts, const RingCall& call, Duration limit,
-                RingAnswer& answer) {
+                RingReply& answer) {
   const TimePoint until = Clock::now() + limit;
   LinkContext context;
   Waker waker;
@@ -34,7 +34,7 @@
         continue;
       ByteReader reader(frame->bytes);
       FrameHead head;
-      if (!decode_head(reader, head) || head.kind != FrameKind::ring_answer ||
+      if (!decode_head(reader, head) || head.kind != FrameKind::ring_reply ||
           !decode(reader, answer))
         continue;
       if (answer.is_done || answer.leader.empty())
--- a/src/commands/operator_client.h
+++ b/src/commands/operator_client.h
@@ -10,6 +10,6 @@
 // Asks one contact after the other, and whoever is said to lead, until one has answered or the time
 // is over.
 bool ask_leader(const std::vector<std::string>& contacts, const RingCall& call, Duration limit,
-                RingAnswer& answer);
+                RingReply& answer);
 
 }  // namespace saddlewing
--- a/src/commands/ring.cpp
+++ b/src/commands/ring.cpp
@@ -6,8 +6,8 @@
 #include <iostream>
 #include <sstream>
 
-#include "commands/operator_client.h"
 #include "commands/commands.h"
+#include "commands/operator_client.h"
 #include "protocol/frames.h"
 #include "state/hash_ring.h"
 #include "state/node_settings.h"
@@ -98,7 +98,7 @@
     }
     call.text = text.str();
   }
-  RingAnswer answer;
+  RingReply answer;
   if (!ask_leader(contacts, call, Duration(wait_ms), answer)) {
     std::cerr << "ring: no registry that leads answered within " << wait_ms << " ms\n";
     return failed;
--- a/src/commands/trace.cpp
+++ b/src/commands/trace.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 struct Found {
-  Traced traced;
+  TraceReply traced;
   TimePoint last_contact;
 };
 
@@ -33,7 +33,7 @@
       for (const auto& [address, client] : clients_) {
         handles.push_back(client->handle());
         if (!found_.contains(address) && now - asked_[address] >= ask_again &&
-            client->send(encode_trace({FrameKind::trace, {}, {}})))
+            client->send(encode_trace({FrameKind::trace_request, {}, {}})))
           asked_[address] = now;
       }
       wait_links(handles, waker_, std::min(ask_again, std::chrono::ceil<Duration>(until_ - now)));
@@ -42,8 +42,8 @@
         while (const auto frame = client->receive()) {
           ByteReader reader(frame->bytes);
           FrameHead head;
-          Traced traced;
-          if (!decode_head(reader, head) || head.kind != FrameKind::traced ||
+          TraceReply traced;
+          if (!decode_head(reader, head) || head.kind != FrameKind::trace_reply ||
               !decode(reader, traced))
             continue;
           heard_of.insert(heard_of.end(), traced.registries.begin(), traced.registries.end());
@@ -105,7 +105,7 @@
     node["node"] = found.traced.node;
     node["role"] = found.traced.role;
     node["address"] = address;
-    node["holds"] = static_cast<Json::Int64>(found.traced.held.value);
+    node["holds"] = static_cast<Json::Int64>(found.traced.version.value);
     node["is_leader"] = found.traced.is_leader;
     root["nodes"].append(node);
   }
@@ -127,9 +127,9 @@
                 static_cast<long long>(elapsed(first, line.when).count()), static_cast<int>(width),
                 line.node.c_str(), line.role.c_str(), line.what.c_str());
   for (const auto& [address, found] : inquiry.found())
-    if (found.traced.held < version)
+    if (found.traced.version < version)
       std::printf("lags: %s (%s) holds edition %lld\n", found.traced.node.c_str(), address.c_str(),
-                  static_cast<long long>(found.traced.held.value));
+                  static_cast<long long>(found.traced.version.value));
   for (const std::string& address : inquiry.silent())
     std::printf("silent: %s\n", address.c_str());
 }
@@ -149,10 +149,10 @@
   std::vector<Line> lines;
   Version newest;
   for (const auto& [address, found] : inquiry.found()) {
-    newest = std::max(newest, found.traced.held);
+    newest = std::max(newest, found.traced.version);
     // Clocks differ between nodes, so steps come with their age; what the answer took on its way
     // blurs them.
-    for (const Step& step : found.traced.steps)
+    for (const VersionEvent& step : found.traced.events)
       if (step.version == version)
         lines.push_back({found.traced.node, found.traced.role, address, step.what,
                          found.last_contact - Duration(static_cast<std::int64_t>(step.age))});
--- a/src/control_client/control_plane_client.cpp
+++ b/src/control_client/control_plane_client.cpp
@@ -148,11 +148,11 @@
     ControlHeartbeat heartbeat;
     if ((is_good = decode(reader, heartbeat)))
       handle_heartbeat(head, found->second, heartbeat, now);
-  } else if (head.kind == FrameKind::body) {
+  } else if (head.kind == FrameKind::configuration) {
     ConfigurationPayload body;
     if ((is_good = decode(reader, body)))
       take_body(std::move(body), now);
-  } else if (head.kind == FrameKind::endpoints) {
+  } else if (head.kind == FrameKind::endpoint_list) {
     EndpointList endpoints;
     if ((is_good = decode(reader, endpoints)))
       handle_endpoints(found->second, head, endpoints, now);
@@ -167,17 +167,17 @@
   const bool was_confirmed = control_source_.is_confirmed(control_source_.chosen(), now);
   const ControlSourceSelector::Heard last_contact = control_source_.take(head.from, heartbeat, now);
   if (last_contact.is_steering) {
-    version_switch_.see_in_force(heartbeat.in_force);
+    version_switch_.see_in_force(heartbeat.version_in_force);
     if (lease_)
       handle_leadership_lease(heartbeat, *last_contact.asked);
     if (ring_)
       take_ring(heartbeat, *last_contact.asked);
     if (edges_)
       take_edges(heartbeat);
-    if (heartbeat.grant_valid) {
-      reserve_.take(static_cast<double>(heartbeat.grant) / 1000,
+    if (heartbeat.retry_grant_validity) {
+      reserve_.take(static_cast<double>(heartbeat.retry_grant) / 1000,
                     Duration(static_cast<std::int64_t>(
-                        std::min<std::uint64_t>(heartbeat.grant_valid, 60000))),
+                        std::min<std::uint64_t>(heartbeat.retry_grant_validity, 60000))),
                     *last_contact.asked);
       if (now - reserve_shown_ >= settings_.follow * 2) {  // well before the one shown runs out
         reserve_shown_ = now;
@@ -191,10 +191,10 @@
     choose_feed(now);
   if (last_contact.asked && heartbeat.is_confirmed) {
     if (head.from == control_source_.chosen() && heartbeat.brokers_revision != brokers_revision_ &&
-        (heartbeat.brokers_revision == 0 || !heartbeat.seats.empty()))
+        (heartbeat.brokers_revision == 0 || !heartbeat.broker_endpoints.empty()))
       handle_broker_endpoints(heartbeat);
-    if (heartbeat.brokers != brokers_) {
-      brokers_ = std::max<std::uint64_t>(1, heartbeat.brokers);
+    if (heartbeat.broker_count != brokers_) {
+      brokers_ = std::max<std::uint64_t>(1, heartbeat.broker_count);
       has_news_ = true;
     }
   }
@@ -207,7 +207,7 @@
 void ControlPlaneClient::handle_broker_endpoints(const ControlHeartbeat& heartbeat) {
   brokers_revision_ = heartbeat.brokers_revision;
   std::map<std::string, std::vector<std::pair<std::size_t, BrokerEndpoint>>> by_region;
-  for (const BrokerEndpoint& seat : heartbeat.seats)
+  for (const BrokerEndpoint& seat : heartbeat.broker_endpoints)
     if (seat.region != settings_.region)
       by_region[seat.region].push_back({std::hash<std::string>{}(address_ + seat.address), seat});
   std::vector<BrokerEndpoint> seats;
@@ -275,7 +275,7 @@
   }
   version_switch_.take(std::move(snapshot), now);
   fetch_due_ = {};
-  steps_.note(body.version, "held", now);
+  steps_.record(body.version, "held", now);
   LOG(INFO) << "follow: edition " << body.version.value << " held";
   turn(now);
   follow_due_ = now;
@@ -285,7 +285,7 @@
   if (!version_switch_.turn(is_ready_, now))
     return;
   has_news_ = true;
-  steps_.note(version_switch_.serving()->version, "in force", now);
+  steps_.record(version_switch_.serving()->version, "in force", now);
 }
 
 void ControlPlaneClient::handle_endpoints(Line& line, const FrameHead& head,
@@ -295,7 +295,7 @@
     if (!endpoints.is_complete)
       return;
     line.incarnation = head.incarnation.value;
-  } else if (endpoints.base > line.revision) {
+  } else if (endpoints.base_revision > line.revision) {
     return;  // a gap: the next follow tells what is held, and the rest comes again
   }
   for (const Endpoint& entry : endpoints.entries)
@@ -327,10 +327,10 @@
   view->reserve = reserve_;
   const TimePoint now = Clock::now();
   for (const auto& [id, line] : endpoint_table_.lines()) {
-    if (line.entry.phase == Phase::gone)
+    if (line.entry.phase == EndpointPhase::gone)
       continue;
     view->backends.push_back(line.entry);
-    view->backends.back().warm_left =
+    view->backends.back().warmup_left =
         line.warm_until > now ? static_cast<std::uint64_t>(elapsed(now, line.warm_until).count())
                               : 0;
   }
@@ -346,22 +346,22 @@
     FrameHead head;
     if (!decode_head(reader, head))
       continue;
-    if (head.kind == FrameKind::aid) {
+    if (head.kind == FrameKind::gather_request) {
       DelegationRequested in{std::move(frame->routing_id), {}};
       if (decode(reader, in.aid))
         tell_(std::move(in));
       continue;
     }
-    if (head.kind != FrameKind::trace)
+    if (head.kind != FrameKind::trace_request)
       continue;
-    Traced traced;
+    TraceReply traced;
     traced.node = settings_.node_name;
     traced.role = "broker";
-    traced.held = version_switch_.held();
-    traced.steps = steps_.tell(now);
+    traced.version = version_switch_.held();
+    traced.events = steps_.events(now);
     traced.registries = control_source_.registries();
     frame_server_.send(frame->routing_id,
-                       encode({FrameKind::traced, incarnation_, address_}, traced));
+                       encode({FrameKind::trace_reply, incarnation_, address_}, traced));
   }
 }
 
@@ -388,7 +388,8 @@
       ByteReader reader(frame->bytes);
       FrameHead head;
       DelegationResult in;
-      if (decode_head(reader, head) && head.kind == FrameKind::aided && decode(reader, in.aided))
+      if (decode_head(reader, head) && head.kind == FrameKind::gather_result &&
+          decode(reader, in.aided))
         tell_(std::move(in));
     }
 }
--- a/src/control_client/subscription.cpp
+++ b/src/control_client/subscription.cpp
@@ -26,7 +26,7 @@
   follow.version = version_switch_.held();
   follow.endpoints_incarnation = line.incarnation;
   follow.endpoints_revision = line.revision;
-  follow.wants_body = wants_body;
+  follow.wants_configuration = wants_body;
   follow.wants_endpoints = is_feed;
   follow.region = settings_.region;
   follow.is_ready = is_ready_ && !is_leaving_;
@@ -36,32 +36,32 @@
   if (lease_)
     follow.zone = settings_.zone;
   follow.ring_revision = ring_confirmed_;
-  follow.ring_held = ring_revision_;
+  follow.latest_ring_revision = ring_revision_;
   if (ring_revision_ && is_leader)
     count_ring(follow);
   if (edges_) {
-    follow.edges_held = edges_held_;
+    follow.edge_view_revision = edges_held_;
     for (const std::string& counts : edge_counts_.take())
       edge_sums_.merge(counts);
     if (is_feed)
       follow.edge_counts = edge_sums_.take();
   }
   if (lease_ && (is_leader || is_feed)) {
-    follow.failing = seen_.failing;
-    follow.fine = seen_.fine;
+    follow.failing_leaderships = seen_.failing;
+    follow.healthy_leaderships = seen_.fine;
     if (is_feed && line.serial && Clock::now() - seen_.built < oldest_sample) {
       const TimePoint now = Clock::now();
       follow.samples = seen_.samples;
       follow.samples_age =
           static_cast<std::uint64_t>(std::chrono::ceil<Duration>(now - seen_.built).count());
       follow.echo_incarnation = line.heartbeat_incarnation;
-      follow.echo = line.serial;
-      follow.gap = static_cast<std::uint64_t>(elapsed(line.last_heartbeat, now).count());
+      follow.echo_serial = line.serial;
+      follow.echo_delay = static_cast<std::uint64_t>(elapsed(line.last_heartbeat, now).count());
     }
     if (seen_.revision != follow.leadership_revision)
-      follow.failing.clear(), follow.fine.clear();
+      follow.failing_leaderships.clear(), follow.healthy_leaderships.clear();
   }
-  line.client->send(encode({FrameKind::follow, incarnation_, address_}, follow));
+  line.client->send(encode({FrameKind::subscribe, incarnation_, address_}, follow));
 }
 
 void ControlPlaneClient::count_ring(SubscribeRequest& follow) {
@@ -88,12 +88,12 @@
 
 // A view that does not read, or that is older than the one held, changes nothing.
 void ControlPlaneClient::take_edges(const ControlHeartbeat& heartbeat) {
-  if (!heartbeat.edges_in_force && heartbeat.edges.empty())
+  if (!heartbeat.edge_view_in_force && heartbeat.edge_view.empty())
     return;
-  EdgeNews news{nullptr, heartbeat.edges_in_force};
+  EdgeNews news{nullptr, heartbeat.edge_view_in_force};
   auto view = std::make_shared<EdgeView>();
-  if (!heartbeat.edges.empty()) {
-    if (decode_view(heartbeat.edges, *view) && view->revision >= edges_held_) {
+  if (!heartbeat.edge_view.empty()) {
+    if (decode_view(heartbeat.edge_view, *view) && view->revision >= edges_held_) {
       if (view->revision > edges_held_)
         news.view = view;
       edges_held_ = view->revision;
--- a/src/coordination/databases/connection_pool.cpp
+++ b/src/coordination/databases/connection_pool.cpp
@@ -65,7 +65,8 @@
   next->on_connection(connection, ground_.clock());
 }
 
-void DatabaseConnectionPool::on_connection_broken(DatabaseConnection& connection, Verdict why) {
+void DatabaseConnectionPool::on_connection_broken(DatabaseConnection& connection,
+                                                  StatementError why) {
   const auto found = rows_.find(&connection.backend());
   if (found == rows_.end())
     return;
@@ -76,7 +77,7 @@
     return;
   ground_.defer_delete(std::move(*position));
   row.connections.erase(position);
-  if (why != Verdict::none && why != Verdict::full)
+  if (why != StatementError::none && why != StatementError::full)
     ground_.see_answer(connection.backend(), false);
   if (row.seekers.empty())
     return;
@@ -84,7 +85,7 @@
   const bool has_others = std::any_of(
       row.connections.begin(), row.connections.end(),
       [](const auto& kept) { return kept->state() != DatabaseConnection::State::broken; });
-  if (has_others && (why == Verdict::full || why == Verdict::none))
+  if (has_others && (why == StatementError::full || why == StatementError::none))
     return;
   const TimePoint now = ground_.clock();
   std::deque<ConnectionWaiter*> seekers;
--- a/src/coordination/databases/connection_pool.h
+++ b/src/coordination/databases/connection_pool.h
@@ -15,7 +15,7 @@
   virtual ~ConnectionWaiter() = default;
   virtual const Values& wanted_values() const = 0;
   virtual void on_connection(DatabaseConnection& connection, TimePoint now) = 0;
-  virtual void on_no_connection(Backend& backend, Verdict why,
+  virtual void on_no_connection(Backend& backend, StatementError why,
                                 TimePoint now) = 0;  // no connection could be had
 };
 
@@ -46,7 +46,7 @@
   std::size_t waiting() const;
 
   void on_connection_ready(DatabaseConnection& connection) override;
-  void on_connection_broken(DatabaseConnection& connection, Verdict why) override;
+  void on_connection_broken(DatabaseConnection& connection, StatementError why) override;
   void on_log_position(Backend& backend, const LogPosition& position, TimePoint asked) override {
     ground_.record_log_position(backend, position, asked);
   }
--- a/src/coordination/databases/database_connection.cpp
+++ b/src/coordination/databases/database_connection.cpp
@@ -14,9 +14,9 @@
   link_ = std::move(link);
   asked_ = now;
   expected_.push_back({Awaited::connect, {}, {}});
-  if (!link_->send(
-          encode_message(WireKind::connect, {backend_->service, "saddlewing", backend_->id})))
-    fail(Verdict::unknown);
+  if (!link_->send(encode_database_message(DatabaseMessageKind::connect,
+                                           {backend_->service, "saddlewing", backend_->id})))
+    fail(StatementError::unknown);
 }
 
 int DatabaseConnection::distance(const Values& values) const {
@@ -33,13 +33,13 @@
 
 void DatabaseConnection::expect(Awaited what, const std::string& text, std::string first,
                                 std::string second) {
-  out_ += wire_ask("-", text);
+  out_ += encode_query("-", text);
   expected_.push_back({what, std::move(first), std::move(second)});
 }
 
 bool DatabaseConnection::prepare(const Values& values, const Prepared* name,
                                  const std::string& begin, TimePoint now) {
-  prepared_ = Verdict::none;
+  prepared_ = StatementError::none;
   asked_ = now;
   const bool must_clear = distance(values) >= 1000 ||
                           (name && names_.size() >= max_names && !names_.contains(name->key));
@@ -59,7 +59,7 @@
   state_ = State::preparing;
   const std::string bytes = std::exchange(out_, {});
   if (!link_->send(bytes))
-    fail(Verdict::unknown);
+    fail(StatementError::unknown);
   return false;
 }
 
@@ -69,7 +69,7 @@
   outcome_ = {};
   expected_.push_back({Awaited::ask, {}, {}});
   if (!link_->send(bytes))
-    fail(Verdict::unknown);
+    fail(StatementError::unknown);
 }
 
 void DatabaseConnection::release(TimePoint now) {
@@ -87,15 +87,15 @@
   expect(Awaited::undo, "UNDO");
   const std::string bytes = std::exchange(out_, {});
   if (!link_->send(bytes))
-    fail(Verdict::unknown);
+    fail(StatementError::unknown);
 }
 
-void DatabaseConnection::close(Verdict why) {
+void DatabaseConnection::close(StatementError why) {
   user_ = nullptr;
   fail(why);
 }
 
-void DatabaseConnection::fail(Verdict why) {
+void DatabaseConnection::fail(StatementError why) {
   if (state_ == State::broken)
     return;
   state_ = State::broken;
@@ -108,45 +108,45 @@
     user->on_broken(*this);
 }
 
-void DatabaseConnection::take_message(WireMessage&& message, TimePoint now) {
+void DatabaseConnection::take_message(DatabaseMessage&& message, TimePoint now) {
   if (state_ == State::broken)
     return;
   if (expected_.empty())
-    return fail(Verdict::garbled);  // nobody asked
+    return fail(StatementError::malformed);  // nobody asked
   switch (message.kind) {
-    case WireKind::row:
+    case DatabaseMessageKind::row:
       if (has_ended_)
-        return fail(Verdict::garbled);
-      outcome_.rows += encode_message(WireKind::row, {message.field(0)});
+        return fail(StatementError::malformed);
+      outcome_.rows += encode_database_message(DatabaseMessageKind::row, {message.field(0)});
       if (outcome_.rows.size() > max_rows)
-        fail(Verdict::garbled);
+        fail(StatementError::malformed);
       return;
-    case WireKind::done:
+    case DatabaseMessageKind::complete:
       if (std::exchange(has_ended_, true))
-        return fail(Verdict::garbled);
+        return fail(StatementError::malformed);
       outcome_.text = message.field(0);
       return;
-    case WireKind::error:
+    case DatabaseMessageKind::error:
       if (std::exchange(has_ended_, true))
-        return fail(Verdict::garbled);
-      outcome_.verdict = verdict_of(message.field(0));
-      if (outcome_.verdict == Verdict::none)
-        outcome_.verdict = Verdict::unknown;
+        return fail(StatementError::malformed);
+      outcome_.verdict = statement_error_of(message.field(0));
+      if (outcome_.verdict == StatementError::none)
+        outcome_.verdict = StatementError::unknown;
       outcome_.text = message.field(1);
       if (expected_.front().what == Awaited::connect)
         return fail(outcome_.verdict);
       return;
-    case WireKind::ready:
+    case DatabaseMessageKind::ready:
       break;
     default:
-      return fail(Verdict::garbled);
+      return fail(StatementError::malformed);
   }
   // Only the greeting is answered by READY alone: another one is a surplus answer's.
   if (!std::exchange(has_ended_, false) && expected_.front().what != Awaited::connect)
-    return fail(Verdict::garbled);
+    return fail(StatementError::malformed);
   const std::string& state = message.field(0);
   if (state != "I" && state != "T" && state != "E")
-    return fail(Verdict::garbled);
+    return fail(StatementError::malformed);
   wire_state_ = outcome_.state = state[0];
   outcome_.position = message.field(1);
   LogPosition position;
@@ -160,10 +160,10 @@
 void DatabaseConnection::finish(Expected expected, TimePoint now) {
   if (expected.what == Awaited::ask)
     return finish_ask(now);
-  const Verdict verdict = outcome_.verdict;
+  const StatementError verdict = outcome_.verdict;
   outcome_ = {};
-  if (verdict != Verdict::none) {
-    if (prepared_ == Verdict::none)
+  if (verdict != StatementError::none) {
+    if (prepared_ == StatementError::none)
       prepared_ = verdict;
   } else {
     if (expected.what == Awaited::clear)
@@ -175,15 +175,15 @@
   }
   if (!expected_.empty())
     return;
-  owner_.on_answer(*backend_, verdict == Verdict::none || is_not_run(verdict));
+  owner_.on_answer(*backend_, verdict == StatementError::none || is_not_run(verdict));
   if (state_ == State::ending) {
-    if (expected.what == Awaited::undo && (verdict != Verdict::none || wire_state_ != 'I'))
-      return fail(Verdict::garbled);
+    if (expected.what == Awaited::undo && (verdict != StatementError::none || wire_state_ != 'I'))
+      return fail(StatementError::malformed);
     return release(now);
   }
   if (state_ == State::greeting) {
     if (wire_state_ != 'I')
-      return fail(Verdict::garbled);
+      return fail(StatementError::malformed);
     state_ = State::resting;
     return owner_.on_connection_ready(*this);
   }
@@ -196,8 +196,9 @@
 
 void DatabaseConnection::finish_ask(TimePoint now) {
   StatementResult outcome = std::exchange(outcome_, {});
-  owner_.on_answer(*backend_, outcome.verdict == Verdict::none || is_not_run(outcome.verdict));
-  if (outcome.verdict == Verdict::no_such)
+  owner_.on_answer(*backend_,
+                   outcome.verdict == StatementError::none || is_not_run(outcome.verdict));
+  if (outcome.verdict == StatementError::no_such_statement)
     names_.clear();  // it knows less than it acknowledged
   if (state_ == State::ending || !user_) {
     state_ = State::ending;
--- a/src/coordination/databases/database_connection.h
+++ b/src/coordination/databases/database_connection.h
@@ -28,9 +28,9 @@
 };
 
 struct StatementResult {
-  Verdict verdict = Verdict::none;  // none: done
-  std::string text;                 // the stamp, or the error's text
-  std::string rows;                 // whole messages, as they came
+  StatementError verdict = StatementError::none;  // none: done
+  std::string text;                               // the stamp, or the error's text
+  std::string rows;                               // whole messages, as they came
   char state = 'I';
   std::string position;  // as READY told it
 };
@@ -40,7 +40,7 @@
  public:
   virtual ~ConnectionUser() = default;
   virtual void on_prepared(DatabaseConnection& connection,
-                           Verdict verdict) = 0;  // none: the lane is as asked
+                           StatementError verdict) = 0;  // none: the lane is as asked
   virtual void on_response(DatabaseConnection& connection, StatementResult outcome) = 0;
   virtual void on_broken(
       DatabaseConnection& connection) = 0;  // its link ended; never while resting
@@ -65,7 +65,7 @@
     virtual ~Owner() = default;
     virtual void on_connection_ready(
         DatabaseConnection& connection) = 0;  // it rests, and may be given to another
-    virtual void on_connection_broken(DatabaseConnection& connection, Verdict why) = 0;
+    virtual void on_connection_broken(DatabaseConnection& connection, StatementError why) = 0;
     virtual void on_log_position(Backend& backend, const LogPosition& position,
                                  TimePoint asked) = 0;
     virtual void on_answer(Backend& backend, bool is_fine) = 0;
@@ -103,14 +103,14 @@
   // The user is done with it. In a transaction or in the middle of something it is brought to rest
   // first.
   void release(TimePoint now);
-  void close(Verdict why = Verdict::none);  // breaks it without telling the user
+  void close(StatementError why = StatementError::none);  // breaks it without telling the user
 
-  void take_message(WireMessage&& message, TimePoint now);
+  void take_message(DatabaseMessage&& message, TimePoint now);
   void take_end() {
-    fail(state_ == State::resting ? Verdict::none : Verdict::unknown);
+    fail(state_ == State::resting ? StatementError::none : StatementError::unknown);
   }
   void answer_is_late() {
-    fail(Verdict::timeout);
+    fail(StatementError::timeout);
   }
 
  private:
@@ -131,7 +131,7 @@
               std::string second = {});
   void finish(Expected expected, TimePoint now);
   void finish_ask(TimePoint now);
-  void fail(Verdict why);
+  void fail(StatementError why);
 
   Owner& owner_;
   BackendPointer backend_;
@@ -143,7 +143,7 @@
   std::deque<Expected> expected_;
   std::string out_;  // gathered until sent at once
   StatementResult outcome_;
-  Verdict prepared_ = Verdict::none;
+  StatementError prepared_ = StatementError::none;
   char wire_state_ = 'I';
   bool has_ended_ = false;  // DONE or ERROR came; READY is due, and nothing else
   TimePoint asked_{};
--- a/src/coordination/databases/database_session.cpp
+++ b/src/coordination/databases/database_session.cpp
@@ -29,49 +29,54 @@
 
 void Session::say_done(const std::string& stamp, char state, const std::string& position,
                        std::string rows) {
-  rows += encode_message(WireKind::done, {stamp});
-  rows += encode_message(WireKind::ready, {std::string_view(&state, 1), position});
+  rows += encode_database_message(DatabaseMessageKind::complete, {stamp});
+  rows +=
+      encode_database_message(DatabaseMessageKind::ready, {std::string_view(&state, 1), position});
   ground_.say(*this, std::move(rows));
 }
 
-void Session::say_error(Verdict verdict, const std::string& text, char state) {
-  ground_.say(*this, encode_message(WireKind::error, {name_of(verdict), text}) +
-                         encode_message(WireKind::ready, {std::string_view(&state, 1), "-"}));
+void Session::say_error(StatementError verdict, const std::string& text, char state) {
+  ground_.say(*this, encode_database_message(DatabaseMessageKind::error, {name_of(verdict), text}) +
+                         encode_database_message(DatabaseMessageKind::ready,
+                                                 {std::string_view(&state, 1), "-"}));
 }
 
-void Session::take_wrong(Verdict verdict) {
-  ground_.say(*this, encode_message(WireKind::error, {name_of(verdict), "not in the protocol"}));
+void Session::take_wrong(StatementError verdict) {
+  ground_.say(*this, encode_database_message(DatabaseMessageKind::error,
+                                             {name_of(verdict), "not in the protocol"}));
   leave(Clock::now());
   ground_.close(*this);
 }
 
-void Session::greet(WireMessage&& message) {
-  if (message.kind != WireKind::connect || message.fields.size() < 2)
-    return take_wrong(Verdict::garbled);
+void Session::greet(DatabaseMessage&& message) {
+  if (message.kind != DatabaseMessageKind::connect || message.fields.size() < 2)
+    return take_wrong(StatementError::malformed);
   const ConfigurationSnapshot& configuration = ground_.configuration();
   const bool is_known = configuration && configuration->match_database(message.field(0));
   if (!is_known) {
-    const Verdict verdict = configuration ? Verdict::no_database : Verdict::busy;
-    ground_.say(*this, encode_message(WireKind::error, {name_of(verdict), "no such database"}));
+    const StatementError verdict =
+        configuration ? StatementError::no_database : StatementError::busy;
+    ground_.say(*this, encode_database_message(DatabaseMessageKind::error,
+                                               {name_of(verdict), "no such database"}));
     state_ = State::closing;
     return ground_.close(*this);
   }
   database_ = message.field(0);
   state_ = State::idle;
-  ground_.say(*this, encode_message(WireKind::ready, {"I", "-"}));
+  ground_.say(*this, encode_database_message(DatabaseMessageKind::ready, {"I", "-"}));
 }
 
-void Session::take(WireMessage&& message, TimePoint now) {
+void Session::take(DatabaseMessage&& message, TimePoint now) {
   if (state_ == State::closing)
     return;
-  if (message.kind == WireKind::bye) {
+  if (message.kind == DatabaseMessageKind::terminate) {
     leave(now);
     return ground_.close(*this);
   }
   if (state_ == State::greeting)
     return greet(std::move(message));
-  if (message.kind != WireKind::ask || message.fields.size() != 2)
-    return take_wrong(Verdict::garbled);
+  if (message.kind != DatabaseMessageKind::query || message.fields.size() != 2)
+    return take_wrong(StatementError::malformed);
   take_idle(message.fields[0], message.fields[1], now);
 }
 
@@ -87,38 +92,38 @@
 bool Session::take_own(const Statement& statement, TimePoint now) {
   const char state = has_change_ ? 'T' : 'I';
   switch (statement.verb) {
-    case Verb::set:
+    case StatementVerb::set:
       if (values_.size() >= max_values && !values_.contains(statement.first))
-        return say_error(Verdict::too_long, "too many values", state), true;
+        return say_error(StatementError::too_long, "too many values", state), true;
       values_[statement.first] = statement.second;
       break;
-    case Verb::name: {
+    case StatementVerb::prepare: {
       if (names_.size() >= max_names && !names_.contains(statement.first))
-        return say_error(Verdict::too_long, "too many names", state), true;
+        return say_error(StatementError::too_long, "too many names", state), true;
       const std::string what = statement.second + " " + statement.rest;
       const std::string key = digest_of(what);
       names_[statement.first] = {key, "NAME " + key + " " + what, statement.second == "WRITE"};
       break;
     }
-    case Verb::forget:
+    case StatementVerb::deallocate:
       names_.erase(statement.first);
       break;
-    case Verb::begin:
-    case Verb::begin_read: {
+    case StatementVerb::begin:
+    case StatementVerb::begin_read_only: {
       if (has_change_)
-        return say_error(Verdict::garbled, "in a transaction already", state), true;
+        return say_error(StatementError::malformed, "in a transaction already", state), true;
       const Route* route = ground_.configuration()->match_database(database_);
       if (!route)
-        return say_error(Verdict::no_database, "no such database any more", 'I'), true;
+        return say_error(StatementError::no_database, "no such database any more", 'I'), true;
       has_change_ = true;
-      is_read_only_ = statement.verb == Verb::begin_read;
+      is_read_only_ = statement.verb == StatementVerb::begin_read_only;
       has_begun_ = has_asked_ = is_undone_ = false;
       adopt(*route);
       break;
     }
-    case Verb::undo:
+    case StatementVerb::rollback:
       if (!has_change_)
-        return say_error(Verdict::garbled, "in no transaction", 'I'), true;
+        return say_error(StatementError::malformed, "in no transaction", 'I'), true;
       end_change(now);
       break;
     default:
@@ -132,23 +137,25 @@
 
 void Session::take_idle(const std::string& id, const std::string& text, TimePoint now) {
   const Statement statement = read_statement(text);
-  const bool ends_change = statement.verb == Verb::save || statement.verb == Verb::undo;
+  const bool ends_change =
+      statement.verb == StatementVerb::commit || statement.verb == StatementVerb::rollback;
   if (has_change_ && (state_ == State::failed || is_undone_)) {
     if (!ends_change) {
       const bool is_news = std::exchange(is_undone_, false);
       state_ = State::failed;
-      return say_error(is_news ? Verdict::undone : Verdict::garbled, "the transaction has failed",
-                       'E');
+      return say_error(is_news ? StatementError::rolled_back : StatementError::malformed,
+                       "the transaction has failed", 'E');
     }
     end_change(now);
-    if (statement.verb == Verb::undo)
+    if (statement.verb == StatementVerb::rollback)
       return say_done("-", 'I', "-");
-    return say_error(Verdict::undone, "the transaction had failed", 'I');
+    return say_error(StatementError::rolled_back, "the transaction had failed", 'I');
   }
   if (take_own(statement, now))
     return;
-  if (statement.verb == Verb::none || (statement.verb == Verb::save && !has_change_))
-    return say_error(Verdict::garbled, "not understood", has_change_ ? 'T' : 'I');
+  if (statement.verb == StatementVerb::none ||
+      (statement.verb == StatementVerb::commit && !has_change_))
+    return say_error(StatementError::malformed, "not understood", has_change_ ? 'T' : 'I');
   start(id, text, statement, now);
 }
 
@@ -159,13 +166,13 @@
   id_ = id;
   text_ = text;
   verb_ = statement.verb;
-  bool writes = verb_ == Verb::write;
-  if (verb_ == Verb::run) {
+  bool writes = verb_ == StatementVerb::write;
+  if (verb_ == StatementVerb::execute) {
     const auto found = names_.find(statement.first);
     if (found == names_.end()) {
       if (has_change_)
         state_ = State::failed, drop_connection(now);
-      return say_error(Verdict::no_such, "no such name", has_change_ ? 'E' : 'I');
+      return say_error(StatementError::no_such_statement, "no such name", has_change_ ? 'E' : 'I');
     }
     prepared_ = &found->second;
     text_ = "RUN " + prepared_->key + " " + statement.rest;
@@ -174,11 +181,11 @@
   if (!has_change_) {
     const Route* route = ground_.configuration()->match_database(database_);
     if (!route)
-      return say_error(Verdict::no_database, "no such database any more", 'I');
+      return say_error(StatementError::no_database, "no such database any more", 'I');
     adopt(*route);
     is_read_only_ = !writes;
   }
-  is_write_ = verb_ == Verb::save || (writes && !has_change_);
+  is_write_ = verb_ == StatementVerb::commit || (writes && !has_change_);
   tries_ = 0;
   max_tries_ = std::max(2, route_.tries);
   began_ = now;
@@ -195,7 +202,7 @@
       ground_.choose(*this, service_, route_, !is_read_only_, began_, now);
   if (!choice.backend) {
     if (!ground_.may_wait(*this))
-      finish_failed(Verdict::busy, "too many wait", now);
+      finish_failed(StatementError::busy, "too many wait", now);
     return;
   }
   is_lead_ = choice.is_lead;
@@ -209,21 +216,22 @@
   prepare(now);
 }
 
-void Session::on_no_connection(Backend& backend, Verdict why, TimePoint now) {
+void Session::on_no_connection(Backend& backend, StatementError why, TimePoint now) {
   ground_.see_refusal(backend, why, now);
   ++tries_;
   if (may_try_again())
     return proceed(now);
   // Nothing was sent. Whoever leads next may be told at any moment.
   if (!ground_.may_wait(*this))
-    finish_failed(Verdict::busy, "no connection", now);
+    finish_failed(StatementError::busy, "no connection", now);
 }
 
 void Session::prepare(TimePoint now) {
   if (!has_lead(now)) {
     drop_connection(now);
-    return has_asked_ && has_change_ ? finish_failed(Verdict::undone, "the lead has changed", now)
-                                     : proceed(now);
+    return has_asked_ && has_change_
+               ? finish_failed(StatementError::rolled_back, "the lead has changed", now)
+               : proceed(now);
   }
   state_ = State::preparing;
   std::string begin;
@@ -236,9 +244,9 @@
     send(now);
 }
 
-void Session::on_prepared(DatabaseConnection& connection, Verdict verdict) {
+void Session::on_prepared(DatabaseConnection& connection, StatementError verdict) {
   const TimePoint now = Clock::now();
-  if (verdict == Verdict::none) {
+  if (verdict == StatementError::none) {
     has_begun_ = has_change_;
     return send(now);
   }
@@ -251,10 +259,10 @@
     drop_connection(now);
   has_begun_ = false;
   if (has_change_ && has_asked_)
-    return finish_failed(Verdict::undone, "a name or value could not be set", now);
+    return finish_failed(StatementError::rolled_back, "a name or value could not be set", now);
   ++tries_;
-  if (!may_try_again() && verdict != Verdict::readonly)
-    return finish_failed(is_not_run(verdict) ? verdict : Verdict::busy, "not begun", now);
+  if (!may_try_again() && verdict != StatementError::readonly)
+    return finish_failed(is_not_run(verdict) ? verdict : StatementError::busy, "not begun", now);
   proceed(now);
 }
 
@@ -262,7 +270,7 @@
   if (!has_lead(now)) {
     drop_connection(now);
     if (has_change_ && has_asked_)
-      return finish_failed(Verdict::undone, "the lead has changed", now);
+      return finish_failed(StatementError::rolled_back, "the lead has changed", now);
     has_begun_ = false;
     return proceed(now);
   }
@@ -270,7 +278,7 @@
   has_asked_ = true;
   ++tries_;
   const bool needs_after = !has_change_ && after_.is_known();
-  connection_->ask(wire_ask(id_, needs_after ? "AFTER " + after_.text() + " " + text_ : text_),
+  connection_->ask(encode_query(id_, needs_after ? "AFTER " + after_.text() + " " + text_ : text_),
                    now);
 }
 
@@ -280,7 +288,7 @@
     drop_connection(now);
     return lose_response(now);
   }
-  if (outcome.verdict != Verdict::none) {
+  if (outcome.verdict != StatementError::none) {
     ground_.see_refusal(connection.backend(), outcome.verdict, now);
     if (has_change_) {
       drop_connection(now);
@@ -288,15 +296,15 @@
     }
     drop_connection(now);
     const bool may_repeat =
-        is_not_run(outcome.verdict) && (outcome.verdict != Verdict::busy || is_read_only_);
-    if (may_repeat && (may_try_again() || outcome.verdict == Verdict::readonly))
+        is_not_run(outcome.verdict) && (outcome.verdict != StatementError::busy || is_read_only_);
+    if (may_repeat && (may_try_again() || outcome.verdict == StatementError::readonly))
       return proceed(now);
     return finish_failed(outcome.verdict, outcome.text, now);
   }
   LogPosition position;
   if (is_write_ && read_log_position(outcome.position, position))
     own_position_ = position;
-  if (verb_ == Verb::save || !has_change_) {
+  if (verb_ == StatementVerb::commit || !has_change_) {
     has_change_ = false;
     drop_connection(now);
     outcome.state = 'I';
@@ -316,11 +324,11 @@
   }
   if (before == State::preparing) {
     if (has_change_ && has_asked_)
-      return finish_failed(Verdict::undone, "the connection broke", now);
+      return finish_failed(StatementError::rolled_back, "the connection broke", now);
     has_begun_ = false;
     ++tries_;
     return may_try_again() ? proceed(now)
-                           : finish_failed(Verdict::busy, "the connection broke", now);
+                           : finish_failed(StatementError::busy, "the connection broke", now);
   }
   if (before == State::attempting)
     lose_response(now);
@@ -329,10 +337,10 @@
 // The statement may have run and its outcome is not known.
 void Session::lose_response(TimePoint now) {
   if (is_write_)
-    return finish_failed(Verdict::unknown, "the outcome was lost", now);
+    return finish_failed(StatementError::unknown, "the outcome was lost", now);
   if (!has_change_ && may_try_again() && now < deadline_)
     return proceed(now);
-  finish_failed(Verdict::undone, "the outcome was lost",
+  finish_failed(StatementError::rolled_back, "the outcome was lost",
                 now);  // reads keep nothing, and what was not saved is rolled back
 }
 
@@ -343,12 +351,12 @@
     connection->release(now);
 }
 
-void Session::finish_failed(Verdict verdict, const std::string& text, TimePoint now) {
-  if (verdict == Verdict::unknown)
+void Session::finish_failed(StatementError verdict, const std::string& text, TimePoint now) {
+  if (verdict == StatementError::unknown)
     metrics().add(Metric::unknown_responses);
   ground_.stop_waiting(*this);
   drop_connection(now);
-  const bool is_over = !has_change_ || verb_ == Verb::save;
+  const bool is_over = !has_change_ || verb_ == StatementVerb::commit;
   if (is_over)
     has_change_ = false;
   state_ = is_over ? State::idle : State::failed;
@@ -379,16 +387,17 @@
     return;
   if (state_ == State::attempting) {
     if (DatabaseConnection* connection = std::exchange(connection_, nullptr))
-      connection->close(Verdict::timeout);
+      connection->close(StatementError::timeout);
     if (is_write_)
-      return finish_failed(Verdict::unknown, "no outcome in time", now);
-    return finish_failed(has_change_ ? Verdict::undone : Verdict::timeout, "no outcome in time",
-                         now);
+      return finish_failed(StatementError::unknown, "no outcome in time", now);
+    return finish_failed(has_change_ ? StatementError::rolled_back : StatementError::timeout,
+                         "no outcome in time", now);
   }
   if (state_ == State::preparing)
     if (DatabaseConnection* connection = std::exchange(connection_, nullptr))
       connection->close();
-  finish_failed(has_change_ ? Verdict::undone : Verdict::busy, "not begun in time", now);
+  finish_failed(has_change_ ? StatementError::rolled_back : StatementError::busy,
+                "not begun in time", now);
 }
 
 void Session::leave(TimePoint now) {
--- a/src/coordination/databases/database_session.h
+++ b/src/coordination/databases/database_session.h
@@ -28,7 +28,7 @@
   virtual bool holds_leadership(const Backend& backend, TimePoint now) const = 0;
   virtual bool may_wait(Session& session) = 0;  // until `proceed` is called; false: too many wait
   virtual void stop_waiting(Session& session) = 0;
-  virtual void see_refusal(Backend& backend, Verdict verdict, TimePoint now) = 0;
+  virtual void see_refusal(Backend& backend, StatementError verdict, TimePoint now) = 0;
   virtual void say(Session& session, std::string bytes) = 0;
   virtual void close(Session& session) = 0;                   // after what was said has left
   virtual void set_due(Session& session, TimePoint due) = 0;  // Moment::max(): never
@@ -57,8 +57,8 @@
   }
   ~Session() override;
 
-  void take(WireMessage&& message, TimePoint now);
-  void take_wrong(Verdict verdict);  // what cannot be read: told, then closed
+  void take(DatabaseMessage&& message, TimePoint now);
+  void take_wrong(StatementError verdict);  // what cannot be read: told, then closed
   bool is_busy() const {
     return state_ == State::seeking || state_ == State::preparing || state_ == State::attempting;
   }
@@ -82,14 +82,14 @@
     return values_;
   }
   void on_connection(DatabaseConnection& connection, TimePoint now) override;
-  void on_no_connection(Backend& backend, Verdict why, TimePoint now) override;
-  void on_prepared(DatabaseConnection& connection, Verdict verdict) override;
+  void on_no_connection(Backend& backend, StatementError why, TimePoint now) override;
+  void on_prepared(DatabaseConnection& connection, StatementError verdict) override;
   void on_response(DatabaseConnection& connection, StatementResult outcome) override;
   void on_broken(DatabaseConnection& connection) override;
 
  private:
   void adopt(const Route& route);
-  void greet(WireMessage&& message);
+  void greet(DatabaseMessage&& message);
   void take_idle(const std::string& id, const std::string& text, TimePoint now);
   bool take_own(const Statement& statement, TimePoint now);  // what needs no backend
   void start(const std::string& id, const std::string& text, const Statement& statement,
@@ -106,8 +106,8 @@
   void lose_response(TimePoint now);
   void say_done(const std::string& stamp, char state, const std::string& position,
                 std::string rows = {});
-  void say_error(Verdict verdict, const std::string& text, char state);
-  void finish_failed(Verdict verdict, const std::string& text, TimePoint now);
+  void say_error(StatementError verdict, const std::string& text, char state);
+  void finish_failed(StatementError verdict, const std::string& text, TimePoint now);
   void end_change(TimePoint now);
   void settle(TimePoint now);
 
@@ -131,7 +131,7 @@
 
   // The statement at work.
   std::string id_, text_;
-  Verb verb_ = Verb::none;
+  StatementVerb verb_ = StatementVerb::none;
   bool is_write_ = false;  // its effect would last: a WRITE outside a transaction, or SAVE
   const Prepared* prepared_ = nullptr;
   TimePoint began_{}, deadline_{};
--- a/src/coordination/discovery/backend_heartbeat.cpp
+++ b/src/coordination/discovery/backend_heartbeat.cpp
@@ -24,7 +24,7 @@
   Endpoint read;
   read.id = id;
   if (is_leaving) {
-    read.phase = Phase::gone;
+    read.phase = EndpointPhase::gone;
     entry = std::move(read);
     return {};
   }
@@ -57,7 +57,7 @@
   read.zone = text("zone", true);
   read.software = text("version", false);
   read.capacity = static_cast<std::uint64_t>(number("capacity", 1, 1e6, 1, false));
-  read.warm_left = static_cast<std::uint64_t>(number("warm_left_ms", 0, 1e9, 0, false));
+  read.warmup_left = static_cast<std::uint64_t>(number("warm_left_ms", 0, 1e9, 0, false));
   read.call_count = static_cast<std::uint64_t>(number("call_count", 0, 1e15, 0, true));
   const std::string state = text("state", true), role = text("store_role", false);
   Address address;
@@ -69,7 +69,7 @@
     first = "store_role is neither leader nor copy";
   if (!first.empty())
     return make_error(ErrorCode::invalid, first);
-  read.phase = state == "ready" ? Phase::ready : Phase::emptying;
+  read.phase = state == "ready" ? EndpointPhase::ready : EndpointPhase::draining;
   read.is_leader = role == "leader";
   entry = std::move(read);
   return {};
--- a/src/coordination/discovery/service_registry.h
+++ b/src/coordination/discovery/service_registry.h
@@ -101,9 +101,9 @@
   }
 
  private:
-  void set_status(Line& line, Status status) {
+  void set_status(Line& line, EndpointStatus status) {
     line.entry.status = status;
-    line.entry.stamp = ++stamp_;
+    line.entry.status_revision = ++stamp_;
     touch(line);
   }
 
--- a/src/coordination/routing/delegated_gather.cpp
+++ b/src/coordination/routing/delegated_gather.cpp
@@ -81,7 +81,7 @@
   GatherResult aided = std::move(next_);
   next_ = {};
   aided.token = token_;
-  aided.held = static_cast<std::uint64_t>(elapsed(began_, now).count());
+  aided.processing_time = static_cast<std::uint64_t>(elapsed(began_, now).count());
   aided.records = best_.take();
   best_ = BestRecords(best_count_);
   ground_.send_gather_result(*this, std::move(aided), now);
--- a/src/coordination/routing/load_balancer.cpp
+++ b/src/coordination/routing/load_balancer.cpp
@@ -35,10 +35,10 @@
     const auto region = zones.find(entry.zone);
     backend->region = region != zones.end() ? region->second : entry.zone;
     backend->capacity = static_cast<int>(std::max<std::uint64_t>(1, entry.capacity));
-    backend->warm_until = now + Duration(static_cast<std::int64_t>(entry.warm_left));
+    backend->warm_until = now + Duration(static_cast<std::int64_t>(entry.warmup_left));
   }
   backend->status = entry.status;
-  backend->is_cancelled = entry.phase != Phase::ready;
+  backend->is_cancelled = entry.phase != EndpointPhase::ready;
   return backend;
 }
 
@@ -100,7 +100,7 @@
   for (const BackendPointer& pointer : backends) {
     Backend& backend = *pointer;
     if (backend.is_cancelled ||
-        (backend.status != Status::up && backend.status != Status::starting))
+        (backend.status != EndpointStatus::up && backend.status != EndpointStatus::starting))
       continue;
     if (std::find(tried.begin(), tried.end(), &backend) != tried.end())
       continue;
@@ -117,7 +117,7 @@
         min_broken = &backend;
       continue;
     }
-    const int rank = backend.status == Status::up ? 1 : 0;
+    const int rank = backend.status == EndpointStatus::up ? 1 : 0;
     const double cost = edge_cost(backend, wish, now) +
                         this->cost(backend, now) * (1 + static_cast<double>(draw_() % 64) / 1024);
     if (!best || rank > best_class || (rank == best_class && cost < best_cost)) {
--- a/src/coordination/routing/load_balancer.h
+++ b/src/coordination/routing/load_balancer.h
@@ -55,7 +55,7 @@
   std::string id, service, zone, region;
   Address address;
   int capacity = 1;
-  Status status = Status::starting;
+  EndpointStatus status = EndpointStatus::starting;
   TimePoint warm_until{};
   bool is_cancelled =
       false;  // emptying or gone: nothing more is sent, whatever snapshot an errand began with
--- a/src/coordination/routing/proxied_request.cpp
+++ b/src/coordination/routing/proxied_request.cpp
@@ -77,7 +77,7 @@
     const auto& backends = table_->by_service[part.service.value];
     empty += std::none_of(backends.begin(), backends.end(), [](const BackendPointer& backend) {
       return !backend->is_cancelled &&
-             (backend->status == Status::up || backend->status == Status::starting);
+             (backend->status == EndpointStatus::up || backend->status == EndpointStatus::starting);
     });
   }
   const double share = 1 - static_cast<double>(empty) / static_cast<double>(parts_.size());
--- a/src/coordination/routing/proxied_request_delegation.cpp
+++ b/src/coordination/routing/proxied_request_delegation.cpp
@@ -58,8 +58,8 @@
   };
   // Records of several parts can't be told apart, so a frame counts only if every part in it is
   // still wanted.
-  const bool is_wanted =
-      std::all_of(aided.done.begin(), aided.done.end(), [&](const GatherResult::Done& done) {
+  const bool is_wanted = std::all_of(
+      aided.done.begin(), aided.done.end(), [&](const GatherResult::CompletedPart& done) {
         return is_expected(done.part) && !parts_[done.part].is_done && !parts_[done.part].is_failed;
       });
   if (is_wanted && !aided.done.empty()) {
@@ -67,7 +67,7 @@
     has_run_ = true;
     ground_.pace(route_).see(static_cast<double>(took.count()));
   }
-  for (GatherResult::Done& done : aided.done) {
+  for (GatherResult::CompletedPart& done : aided.done) {
     if (!is_expected(done.part))
       continue;
     Part& part = parts_[done.part];
@@ -82,9 +82,9 @@
     weigh(part, took);
     part.is_done = true;
     ++done_;
-    part.seal = std::move(done.seal);
+    part.seal = std::move(done.checksum);
   }
-  for (const GatherResult::Failed& failed : aided.failed) {
+  for (const GatherResult::FailedPart& failed : aided.failed) {
     if (!is_expected(failed.part))
       continue;
     parts_[failed.part].is_delegated = false;
--- a/src/pooler/pooler_loop.cpp
+++ b/src/pooler/pooler_loop.cpp
@@ -33,18 +33,19 @@
 
 PoolerLoop::Client::Client(PoolerLoop& pooling, TcpConnection channel)
     : pooling(pooling),
-      link(pooling.poller_, {[this](WireMessage&& message) {
-                               session.take(std::move(message), Clock::now());
-                               return !session.is_busy();
-                             },
-                             [this](WireStep step) {
-                               if (step == WireStep::too_long || step == WireStep::garbled)
-                                 return session.take_wrong(step == WireStep::too_long
-                                                               ? Verdict::too_long
-                                                               : Verdict::garbled);
-                               session.leave(Clock::now());
-                               this->pooling.defer_delete(*this);
-                             }}),
+      link(pooling.poller_,
+           {[this](DatabaseMessage&& message) {
+              session.take(std::move(message), Clock::now());
+              return !session.is_busy();
+            },
+            [this](DatabaseReadResult step) {
+              if (step == DatabaseReadResult::too_long || step == DatabaseReadResult::malformed)
+                return session.take_wrong(step == DatabaseReadResult::too_long
+                                              ? StatementError::too_long
+                                              : StatementError::malformed);
+              session.leave(Clock::now());
+              this->pooling.defer_delete(*this);
+            }}),
       session(pooling) {
   link.admit(std::move(channel));
 }
@@ -54,11 +55,11 @@
 }
 
 PoolerLoop::Link::Link(PoolerLoop& pooling, DatabaseConnection& connection)
-    : transport(pooling.poller_, {[&connection](WireMessage&& message) {
+    : transport(pooling.poller_, {[&connection](DatabaseMessage&& message) {
                                     connection.take_message(std::move(message), Clock::now());
                                     return true;
                                   },
-                                  [&connection](WireStep) {
+                                  [&connection](DatabaseReadResult) {
                                     connection.take_end();
                                   }}) {
 }
@@ -332,8 +333,8 @@
   if (found == by_service_.end())
     return choice;
   for (const BackendPointer& backend : found->second) {
-    if (backend == choice.backend || backend->is_cancelled || backend->status != Status::up ||
-        backend->id == lead->id)
+    if (backend == choice.backend || backend->is_cancelled ||
+        backend->status != EndpointStatus::up || backend->id == lead->id)
       continue;
     if (backend->breaker.is_open(now))
       continue;
@@ -356,12 +357,12 @@
   return true;
 }
 
-void PoolerLoop::see_refusal(Backend& backend, Verdict verdict, TimePoint now) {
+void PoolerLoop::see_refusal(Backend& backend, StatementError verdict, TimePoint now) {
   Health& health = health_[&backend];
-  if (verdict == Verdict::lagging) {
+  if (verdict == StatementError::lagging) {
     health.lag_pause = std::clamp(health.lag_pause * 2, first_lag_pause, max_lag_pause);
     health.lagging_until = now + health.lag_pause;
-  } else if (verdict == Verdict::readonly || verdict == Verdict::wrong_host) {
+  } else if (verdict == StatementError::readonly || verdict == StatementError::wrong_host) {
     health.failing = now;
     has_news_ = true;
   }
@@ -436,10 +437,10 @@
 
 void PoolerLoop::Readiness::on_request(ServerExchange& exchange, TimePoint now) {
   const std::string& target = exchange.request().getURI();
-  if (target == row_of(Call::metrics).path)
+  if (target == row_of(HttpCall::metrics).path)
     return exchange.answer(
         {200, "OK", "Content-Type: text/plain; version=0.0.4\r\n", metrics().page()}, now);
-  if (target.substr(0, target.find('?')) != row_of(Call::readiness).path)
+  if (target.substr(0, target.find('?')) != row_of(HttpCall::readiness).path)
     return exchange.answer(reply_of(ErrorCode::no_route), now);
   if (pooling_.is_ready())
     return exchange.answer({200, "OK", "", "ready\n"}, now);
--- a/src/pooler/pooler_loop.h
+++ b/src/pooler/pooler_loop.h
@@ -8,11 +8,11 @@
 #include <thread>
 #include <unordered_map>
 
-#include "coordination/databases/log_position_samples.h"
-#include "coordination/databases/database_session.h"
 #include "control_client/control_plane_client.h"
-#include "transport/http_server.h"
+#include "coordination/databases/database_session.h"
+#include "coordination/databases/log_position_samples.h"
 #include "transport/database_transport.h"
+#include "transport/http_server.h"
 
 namespace saddlewing {
 
@@ -54,7 +54,7 @@
   void stop_waiting(Session& session) override {
     waiting_.erase(&session);
   }
-  void see_refusal(Backend& backend, Verdict verdict, TimePoint now) override;
+  void see_refusal(Backend& backend, StatementError verdict, TimePoint now) override;
   void say(Session& session, std::string bytes) override;
   void close(Session& session) override;
   void set_due(Session& session, TimePoint due) override;
--- a/src/protocol/cluster_status.cpp
+++ b/src/protocol/cluster_status.cpp
@@ -16,7 +16,7 @@
   return "leader";
 }
 
-std::string encode_core_status_request(const FrameHead& head) {
+std::string encode_cluster_status_request(const FrameHead& head) {
   return open_frame(head, FrameKind::cluster_status_request).take();
 }
 
--- a/src/protocol/cluster_status.h
+++ b/src/protocol/cluster_status.h
@@ -54,7 +54,7 @@
 };
 const char* name_of(ClusterStatus::Role role);
 
-std::string encode_core_status_request(const FrameHead& head);
+std::string encode_cluster_status_request(const FrameHead& head);
 std::string encode(const FrameHead& head, const ClusterStatus& value);
 // False: cut short, too long, or a role that there is not.
 bool decode(ByteReader& reader, ClusterStatus& value);
--- a/src/protocol/database_protocol.cpp
+++ b/src/protocol/database_protocol.cpp
@@ -6,20 +6,20 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::pair<Verdict, std::string_view> verdicts[] = {
-    {Verdict::busy, "BUSY"},
-    {Verdict::undone, "UNDONE"},
-    {Verdict::lagging, "LAGGING"},
-    {Verdict::readonly, "READONLY"},
-    {Verdict::wrong_host, "WRONGHOST"},
-    {Verdict::full, "FULL"},
-    {Verdict::no_such, "NOSUCH"},
-    {Verdict::no_database, "NODB"},
-    {Verdict::too_long, "TOOLONG"},
-    {Verdict::garbled, "GARBLED"},
-    {Verdict::failed, "FAILED"},
-    {Verdict::timeout, "TIMEOUT"},
-    {Verdict::unknown, "UNKNOWN"},
+constexpr std::pair<StatementError, std::string_view> verdicts[] = {
+    {StatementError::busy, "BUSY"},
+    {StatementError::rolled_back, "UNDONE"},
+    {StatementError::lagging, "LAGGING"},
+    {StatementError::readonly, "READONLY"},
+    {StatementError::wrong_host, "WRONGHOST"},
+    {StatementError::full, "FULL"},
+    {StatementError::no_such_statement, "NOSUCH"},
+    {StatementError::no_database, "NODB"},
+    {StatementError::too_long, "TOOLONG"},
+    {StatementError::malformed, "GARBLED"},
+    {StatementError::failed, "FAILED"},
+    {StatementError::timeout, "TIMEOUT"},
+    {StatementError::unknown, "UNKNOWN"},
 };
 
 constexpr std::size_t max_fields = 16;
@@ -39,26 +39,27 @@
 
 }  // namespace
 
-const std::string& WireMessage::field(std::size_t position) const {
+const std::string& DatabaseMessage::field(std::size_t position) const {
   static const std::string none;
   return position < fields.size() ? fields[position] : none;
 }
 
-std::string_view name_of(Verdict verdict) {
+std::string_view name_of(StatementError verdict) {
   for (const auto& [value, name] : verdicts)
     if (value == verdict)
       return name;
   return "";
 }
 
-Verdict verdict_of(std::string_view name) {
+StatementError statement_error_of(std::string_view name) {
   for (const auto& [value, text] : verdicts)
     if (text == name)
       return value;
-  return Verdict::unknown;
+  return StatementError::unknown;
 }
 
-std::string encode_message(WireKind kind, std::initializer_list<std::string_view> fields) {
+std::string encode_database_message(DatabaseMessageKind kind,
+                                    std::initializer_list<std::string_view> fields) {
   std::size_t size = 0;
   for (const auto field : fields)
     size += field.size() + 1;
@@ -72,35 +73,35 @@
   return bytes;
 }
 
-WireStep read_wire(std::string& bytes, WireMessage& message) {
+DatabaseReadResult read_database_message(std::string& bytes, DatabaseMessage& message) {
   if (bytes.empty())
-    return WireStep::more;
+    return DatabaseReadResult::incomplete;
   constexpr std::string_view kinds = "SQXZDCE";
   if (kinds.find(bytes[0]) == std::string_view::npos)
-    return WireStep::garbled;
+    return DatabaseReadResult::malformed;
   if (bytes.size() < 5)
-    return WireStep::more;
+    return DatabaseReadResult::incomplete;
   std::size_t size = 0;
   for (int position = 1; position < 5; ++position)
     size = size << 8 | static_cast<unsigned char>(bytes[position]);
-  if (size > max_message_bytes)
-    return WireStep::too_long;
+  if (size > max_database_message_bytes)
+    return DatabaseReadResult::too_long;
   if (bytes.size() < size + 5)
-    return WireStep::more;
+    return DatabaseReadResult::incomplete;
   if (size && bytes[size + 4] != '\0')
-    return WireStep::garbled;
-  message.kind = static_cast<WireKind>(bytes[0]);
+    return DatabaseReadResult::malformed;
+  message.kind = static_cast<DatabaseMessageKind>(bytes[0]);
   message.fields.clear();
   std::string_view rest = std::string_view(bytes).substr(5, size);
   while (!rest.empty()) {
     if (message.fields.size() >= max_fields)
-      return WireStep::garbled;
+      return DatabaseReadResult::malformed;
     const auto end = rest.find('\0');
     message.fields.emplace_back(rest.substr(0, end));
     rest.remove_prefix(end + 1);
   }
   bytes.erase(0, size + 5);
-  return WireStep::done;
+  return DatabaseReadResult::complete;
 }
 
 Statement read_statement(const std::string& text) {
@@ -111,31 +112,34 @@
     return verb == name;
   };
   if (is("BEGIN"))
-    statement.verb = rest.empty() ? Verb::begin : rest == "READ" ? Verb::begin_read : Verb::none;
+    statement.verb = rest.empty()     ? StatementVerb::begin
+                     : rest == "READ" ? StatementVerb::begin_read_only
+                                      : StatementVerb::none;
   else if (is("SAVE"))
-    statement.verb = rest.empty() ? Verb::save : Verb::none;
+    statement.verb = rest.empty() ? StatementVerb::commit : StatementVerb::none;
   else if (is("UNDO"))
-    statement.verb = rest.empty() ? Verb::undo : Verb::none;
+    statement.verb = rest.empty() ? StatementVerb::rollback : StatementVerb::none;
   else if (is("READ"))
-    statement.verb = rest.empty() ? Verb::none : Verb::read;
+    statement.verb = rest.empty() ? StatementVerb::none : StatementVerb::read;
   else if (is("WRITE"))
-    statement.verb = rest.empty() ? Verb::none : Verb::write;
+    statement.verb = rest.empty() ? StatementVerb::none : StatementVerb::write;
   else if (is("SET") || is("NAME") || is("RUN") || is("FORGET")) {
     statement.first = take_word(rest);
     if (statement.first.empty())
       return statement;
     if (is("FORGET"))
-      statement.verb = rest.empty() ? Verb::forget : Verb::none;
+      statement.verb = rest.empty() ? StatementVerb::deallocate : StatementVerb::none;
     if (is("SET"))
-      statement.verb = Verb::set, statement.second = rest;
+      statement.verb = StatementVerb::set, statement.second = rest;
     if (is("RUN"))
-      statement.verb = rest.empty() ? Verb::none : Verb::run, statement.rest = rest;
+      statement.verb = rest.empty() ? StatementVerb::none : StatementVerb::execute,
+      statement.rest = rest;
     if (is("NAME")) {
       statement.second = take_word(rest);
       statement.rest = rest;
       const bool is_proper =
           (statement.second == "READ" || statement.second == "WRITE") && !rest.empty();
-      statement.verb = is_proper ? Verb::name : Verb::none;
+      statement.verb = is_proper ? StatementVerb::prepare : StatementVerb::none;
     }
   }
   return statement;
@@ -151,7 +155,7 @@
   return true;
 }
 
-bool read_status(const std::string& row, DatabaseStatus& status) {
+bool read_database_status(const std::string& row, DatabaseStatus& status) {
   std::string_view rest = row;
   const std::string role = take_word(rest), term = take_word(rest), position = take_word(rest);
   if (role != "leader" && role != "copy")
--- a/src/protocol/database_protocol.h
+++ b/src/protocol/database_protocol.h
@@ -8,79 +8,81 @@
 
 namespace saddlewing {
 
-enum class WireKind : char {
+enum class DatabaseMessageKind : char {
   connect = 'S',
-  ask = 'Q',
-  bye = 'X',
+  query = 'Q',
+  terminate = 'X',
   ready = 'Z',
   row = 'D',
-  done = 'C',
+  complete = 'C',
   error = 'E'
 };
 
-struct WireMessage {
-  WireKind kind{};
+struct DatabaseMessage {
+  DatabaseMessageKind kind{};
   std::vector<std::string> fields;
   const std::string& field(std::size_t position) const;
 };
 
 // What is told of a try that did not succeed. Promises come first: nothing of the try is kept.
-enum class Verdict {
+enum class StatementError {
   none,
   busy,
-  undone,
+  rolled_back,
   lagging,
   readonly,
   wrong_host,
   full,
-  no_such,
+  no_such_statement,
   no_database,
   too_long,
-  garbled,
+  malformed,
   failed,
   timeout,
   unknown
 };
-std::string_view name_of(Verdict verdict);
-Verdict verdict_of(std::string_view name);  // `unknown` for what is not known
+std::string_view name_of(StatementError verdict);
+StatementError statement_error_of(std::string_view name);  // `unknown` for what is not known
 // A backend that says so did not run the statement.
-constexpr bool is_not_run(Verdict verdict) {
-  return verdict == Verdict::busy || verdict == Verdict::lagging || verdict == Verdict::readonly ||
-         verdict == Verdict::wrong_host || verdict == Verdict::full || verdict == Verdict::no_such;
+constexpr bool is_not_run(StatementError verdict) {
+  return verdict == StatementError::busy || verdict == StatementError::lagging ||
+         verdict == StatementError::readonly || verdict == StatementError::wrong_host ||
+         verdict == StatementError::full || verdict == StatementError::no_such_statement;
 }
 
-inline constexpr std::size_t max_message_bytes = 1 << 20;
+inline constexpr std::size_t max_database_message_bytes = 1 << 20;
 
-std::string encode_message(WireKind kind, std::initializer_list<std::string_view> fields);
-inline std::string wire_ask(std::string_view id, std::string_view text) {
-  return encode_message(WireKind::ask, {id, text});
+std::string encode_database_message(DatabaseMessageKind kind,
+                                    std::initializer_list<std::string_view> fields);
+inline std::string encode_query(std::string_view id, std::string_view text) {
+  return encode_database_message(DatabaseMessageKind::query, {id, text});
 }
 
 // Takes one message off the front of the bytes.
-enum class WireStep {
-  more,
-  done,
+enum class DatabaseReadResult {
+  incomplete,
+  complete,
   too_long,
-  garbled
+  malformed
 };
-WireStep read_wire(std::string& bytes, WireMessage& message);
+DatabaseReadResult read_database_message(std::string& bytes, DatabaseMessage& message);
 
 // A statement as a client writes it.
-enum class Verb {
+enum class StatementVerb {
   begin,
-  begin_read,
-  save,
-  undo,
+  begin_read_only,
+  commit,
+  rollback,
   read,
   write,
   set,
-  name,
-  run,
-  forget,
+  prepare,
+  execute,
+  deallocate,
   none
 };
 struct Statement {
-  Verb verb = Verb::none;
+  StatementVerb verb = StatementVerb::none;
   std::string first, second,
       rest;  // SET: name, value; NAME: name, READ or WRITE, shape; RUN: name, -, thing and data
 };
@@ -105,6 +107,6 @@
   std::uint64_t term = 0;
   LogPosition position;
 };
-bool read_status(const std::string& row, DatabaseStatus& status);
+bool read_database_status(const std::string& row, DatabaseStatus& status);
 
 }  // namespace saddlewing
--- a/src/protocol/frames.cpp
+++ b/src/protocol/frames.cpp
@@ -41,24 +41,24 @@
   return writer;
 }
 
-const char* name_of(Status status) {
+const char* name_of(EndpointStatus status) {
   switch (status) {
-    case Status::up:
+    case EndpointStatus::up:
       return "UP";
-    case Status::down:
+    case EndpointStatus::down:
       return "DOWN";
-    case Status::starting:
+    case EndpointStatus::starting:
       return "STARTING";
-    case Status::out_of_service:
+    case EndpointStatus::out_of_service:
       return "OUT_OF_SERVICE";
-    case Status::unknown:
+    case EndpointStatus::unknown:
       break;
   }
   return "UNKNOWN";
 }
 
 std::string encode(const FrameHead& head, const ForwardedCall& value) {
-  return open_frame(head, FrameKind::forward)
+  return open_frame(head, FrameKind::forwarded_call)
       .number(value.token)
       .number(value.is_read)
       .number(value.version.value)
@@ -77,7 +77,7 @@
 }
 
 std::string encode(const FrameHead& head, const ForwardedReply& value) {
-  return open_frame(head, FrameKind::forwarded)
+  return open_frame(head, FrameKind::forwarded_reply)
       .number(value.token)
       .number(value.requester.value)
       .number(value.is_read)
@@ -102,11 +102,11 @@
 }
 
 std::string encode(const FrameHead& head, const SubscribeRequest& value) {
-  Writer writer = open_frame(head, FrameKind::follow);
+  Writer writer = open_frame(head, FrameKind::subscribe);
   writer.number(value.version.value)
       .number(value.endpoints_incarnation)
       .number(value.endpoints_revision)
-      .number(value.wants_body)
+      .number(value.wants_configuration)
       .number(value.wants_endpoints);
   writer.text(value.region)
       .number(value.is_ready)
@@ -114,21 +114,21 @@
       .number(value.token)
       .number(value.leadership_revision)
       .text(value.zone)
-      .text(value.failing)
-      .text(value.fine)
+      .text(value.failing_leaderships)
+      .text(value.healthy_leaderships)
       .text(value.samples);
   writer.number(value.samples_age)
       .number(value.ring_revision)
-      .number(value.ring_held)
+      .number(value.latest_ring_revision)
       .text(value.ring_loads)
       .text(value.account_loads)
       .number(value.lookups)
       .number(value.late_lookups);
   writer.text(value.edge_counts)
-      .number(value.edges_held)
+      .number(value.edge_view_revision)
       .number(value.echo_incarnation.value)
-      .number(value.echo)
-      .number(value.gap);
+      .number(value.echo_serial)
+      .number(value.echo_delay);
   return writer.take();
 }
 
@@ -136,7 +136,7 @@
   value.version = read_version(reader);
   value.endpoints_incarnation = reader.number();
   value.endpoints_revision = reader.number();
-  value.wants_body = reader.number();
+  value.wants_configuration = reader.number();
   value.wants_endpoints = reader.number();
   value.region = reader.text();
   value.is_ready = reader.number();
@@ -144,21 +144,21 @@
   value.token = reader.number();
   value.leadership_revision = reader.number();
   value.zone = reader.text();
-  value.failing = reader.text();
-  value.fine = reader.text();
+  value.failing_leaderships = reader.text();
+  value.healthy_leaderships = reader.text();
   value.samples = reader.text();
   value.samples_age = reader.number();
   value.ring_revision = reader.number();
-  value.ring_held = reader.number();
+  value.latest_ring_revision = reader.number();
   value.ring_loads = reader.text();
   value.account_loads = reader.text();
   value.lookups = reader.number();
   value.late_lookups = reader.number();
   value.edge_counts = reader.text();
-  value.edges_held = reader.number();
+  value.edge_view_revision = reader.number();
   value.echo_incarnation.value = reader.number();
-  value.echo = reader.number();
-  value.gap = reader.number();
+  value.echo_serial = reader.number();
+  value.echo_delay = reader.number();
   return reader.is_complete();
 }
 
@@ -168,18 +168,18 @@
       .number(value.requester.value)
       .number(value.token)
       .number(value.version.value)
-      .number(value.in_force.value)
+      .number(value.version_in_force.value)
       .number(value.is_confirmed)
       .number(value.is_filled)
       .number(value.is_leader);
   writer.text(value.zone)
       .text(value.region)
-      .number(value.brokers)
-      .number(value.grant)
-      .number(value.grant_valid);
+      .number(value.broker_count)
+      .number(value.retry_grant)
+      .number(value.retry_grant_validity);
   write_texts(writer, value.registries);
-  writer.number(value.brokers_revision).number(value.seats.size());
-  for (const BrokerEndpoint& seat : value.seats)
+  writer.number(value.brokers_revision).number(value.broker_endpoints.size());
+  for (const BrokerEndpoint& seat : value.broker_endpoints)
     writer.text(seat.address).text(seat.region);
   writer.number(value.lease)
       .number(value.leadership_revision)
@@ -188,7 +188,7 @@
       .number(value.serial)
       .number(value.ring_revision)
       .text(value.ring);
-  writer.number(value.edges_in_force).text(value.edges);
+  writer.number(value.edge_view_in_force).text(value.edge_view);
   return writer.take();
 }
 
@@ -196,19 +196,19 @@
   value.term.value = reader.number(), value.requester.value = reader.number(),
   value.token = reader.number();
   value.version = read_version(reader);
-  value.in_force = read_version(reader);
+  value.version_in_force = read_version(reader);
   value.is_confirmed = reader.number();
   value.is_filled = reader.number();
   value.is_leader = reader.number();
   value.zone = reader.text();
   value.region = reader.text();
-  value.brokers = reader.number();
-  value.grant = reader.number();
-  value.grant_valid = reader.number();
+  value.broker_count = reader.number();
+  value.retry_grant = reader.number();
+  value.retry_grant_validity = reader.number();
   read_texts(reader, value.registries);
   value.brokers_revision = reader.number();
-  value.seats.resize(reader.count(16));
-  for (BrokerEndpoint& seat : value.seats) {
+  value.broker_endpoints.resize(reader.count(16));
+  for (BrokerEndpoint& seat : value.broker_endpoints) {
     seat.address = reader.text();
     seat.region = reader.text();
   }
@@ -219,13 +219,16 @@
   value.serial = reader.number();
   value.ring_revision = reader.number();
   value.ring = reader.text();
-  value.edges_in_force = reader.number();
-  value.edges = reader.text();
+  value.edge_view_in_force = reader.number();
+  value.edge_view = reader.text();
   return reader.is_complete();
 }
 
 std::string encode(const FrameHead& head, const ConfigurationPayload& value) {
-  return open_frame(head, FrameKind::body).number(value.version.value).text(value.body).take();
+  return open_frame(head, FrameKind::configuration)
+      .number(value.version.value)
+      .text(value.body)
+      .take();
 }
 
 bool decode(ByteReader& reader, ConfigurationPayload& value) {
@@ -235,13 +238,13 @@
 }
 
 std::string encode(const FrameHead& head, const EndpointList& value) {
-  Writer writer = open_frame(head, FrameKind::endpoints);
+  Writer writer = open_frame(head, FrameKind::endpoint_list);
   writer.number(value.is_complete)
       .number(value.is_observed)
       .number(value.is_filled)
-      .number(value.wants_whole)
+      .number(value.wants_full_list)
       .text(value.zone)
-      .number(value.base)
+      .number(value.base_revision)
       .number(value.revision);
   writer.number(value.entries.size());
   for (const Endpoint& entry : value.entries) {
@@ -253,8 +256,8 @@
     writer.number(entry.capacity)
         .number(static_cast<std::uint64_t>(entry.phase))
         .number(static_cast<std::uint64_t>(entry.status));
-    writer.number(entry.stamp)
-        .number(entry.warm_left)
+    writer.number(entry.status_revision)
+        .number(entry.warmup_left)
         .number(entry.lease_left)
         .number(entry.is_leader)
         .number(entry.call_count);
@@ -266,9 +269,9 @@
   value.is_complete = reader.number();
   value.is_observed = reader.number();
   value.is_filled = reader.number();
-  value.wants_whole = reader.number();
+  value.wants_full_list = reader.number();
   value.zone = reader.text();
-  value.base = reader.number();
+  value.base_revision = reader.number();
   value.revision = reader.number();
   value.entries.resize(reader.count(104));
   for (Endpoint& entry : value.entries) {
@@ -278,11 +281,11 @@
     entry.zone = reader.text();
     entry.software = reader.text();
     entry.capacity = reader.number();
-    if (!read_enum(reader, entry.phase, Phase::gone) ||
-        !read_enum(reader, entry.status, Status::unknown))
+    if (!read_enum(reader, entry.phase, EndpointPhase::gone) ||
+        !read_enum(reader, entry.status, EndpointStatus::unknown))
       return false;
-    entry.stamp = reader.number();
-    entry.warm_left = reader.number();
+    entry.status_revision = reader.number();
+    entry.warmup_left = reader.number();
     entry.lease_left = reader.number();
     entry.is_leader = reader.number();
     entry.call_count = reader.number();
@@ -291,30 +294,30 @@
 }
 
 std::string encode_trace(const FrameHead& head) {
-  return open_frame(head, FrameKind::trace).take();
+  return open_frame(head, FrameKind::trace_request).take();
 }
 
-std::string encode(const FrameHead& head, const Traced& value) {
-  Writer writer = open_frame(head, FrameKind::traced);
+std::string encode(const FrameHead& head, const TraceReply& value) {
+  Writer writer = open_frame(head, FrameKind::trace_reply);
   writer.text(value.node)
       .text(value.role)
-      .number(value.held.value)
+      .number(value.version.value)
       .number(value.is_leader)
-      .number(value.steps.size());
-  for (const Step& step : value.steps)
+      .number(value.events.size());
+  for (const VersionEvent& step : value.events)
     writer.number(step.version.value).text(step.what).number(step.age);
   write_texts(writer, value.registries);
   write_texts(writer, value.brokers);
   return writer.take();
 }
 
-bool decode(ByteReader& reader, Traced& value) {
+bool decode(ByteReader& reader, TraceReply& value) {
   value.node = reader.text();
   value.role = reader.text();
-  value.held = read_version(reader);
+  value.version = read_version(reader);
   value.is_leader = reader.number();
-  value.steps.resize(reader.count(24));
-  for (Step& step : value.steps) {
+  value.events.resize(reader.count(24));
+  for (VersionEvent& step : value.events) {
     step.version = read_version(reader);
     step.what = reader.text();
     step.age = reader.number();
@@ -325,11 +328,11 @@
 }
 
 std::string encode(const FrameHead& head, const GatherRequest& value) {
-  Writer writer = open_frame(head, FrameKind::aid);
+  Writer writer = open_frame(head, FrameKind::gather_request);
   writer.number(value.token)
       .text(value.method)
       .text(value.try_id)
-      .text(value.head_start)
+      .text(value.request_head)
       .text(value.body);
   write_texts(writer, value.services);
   writer.number(value.best_count).number(value.time_left).number(value.flush_after);
@@ -340,7 +343,7 @@
   value.token = reader.number();
   value.method = reader.text();
   value.try_id = reader.text();
-  value.head_start = reader.text();
+  value.request_head = reader.text();
   value.body = reader.text();
   read_texts(reader, value.services);
   value.best_count = reader.number();
@@ -350,37 +353,37 @@
 }
 
 std::string encode(const FrameHead& head, const GatherResult& value) {
-  Writer writer = open_frame(head, FrameKind::aided);
+  Writer writer = open_frame(head, FrameKind::gather_result);
   writer.number(value.token).number(value.done.size());
-  for (const GatherResult::Done& done : value.done)
-    writer.number(done.part).text(done.seal);
+  for (const GatherResult::CompletedPart& done : value.done)
+    writer.number(done.part).text(done.checksum);
   writer.number(value.failed.size());
-  for (const GatherResult::Failed& failed : value.failed)
+  for (const GatherResult::FailedPart& failed : value.failed)
     writer.number(failed.part).number(failed.kind).number(failed.may_have_run);
-  writer.number(value.held).text(value.records);
+  writer.number(value.processing_time).text(value.records);
   return writer.take();
 }
 
 bool decode(ByteReader& reader, GatherResult& value) {
   value.token = reader.number();
   value.done.resize(reader.count(16));
-  for (GatherResult::Done& done : value.done) {
+  for (GatherResult::CompletedPart& done : value.done) {
     done.part = reader.number();
-    done.seal = reader.text();
+    done.checksum = reader.text();
   }
   value.failed.resize(reader.count(24));
-  for (GatherResult::Failed& failed : value.failed) {
+  for (GatherResult::FailedPart& failed : value.failed) {
     failed.part = reader.number();
     failed.kind = reader.number();
     failed.may_have_run = reader.number();
   }
-  value.held = reader.number();
+  value.processing_time = reader.number();
   value.records = reader.text();
   return reader.is_complete();
 }
 
 std::string encode(const FrameHead& head, const RenewedIds& value) {
-  Writer writer = open_frame(head, FrameKind::renewed);
+  Writer writer = open_frame(head, FrameKind::renewed_ids);
   writer.number(value.items.size());
   for (const RenewedIds::Item& item : value.items)
     writer.text(item.id).number(item.call_count).number(item.age).number(item.is_leader);
@@ -407,8 +410,8 @@
   return reader.is_complete();
 }
 
-std::string encode(const FrameHead& head, const RingAnswer& value) {
-  return open_frame(head, FrameKind::ring_answer)
+std::string encode(const FrameHead& head, const RingReply& value) {
+  return open_frame(head, FrameKind::ring_reply)
       .number(value.is_done)
       .text(value.leader)
       .text(value.reason)
@@ -416,7 +419,7 @@
       .take();
 }
 
-bool decode(ByteReader& reader, RingAnswer& value) {
+bool decode(ByteReader& reader, RingReply& value) {
   value.is_done = reader.number();
   value.leader = reader.text();
   value.reason = reader.text();
@@ -444,19 +447,23 @@
 
 std::string encode(const FrameHead& head, const EdgeViewFrame& value) {
   Writer writer = open_frame(head, FrameKind::edge_view);
-  writer.number(value.term.value).number(value.in_force).text(value.view).number(value.ways.size());
-  for (const auto& [way, minimum] : value.ways)
+  writer.number(value.term.value)
+      .number(value.revision_in_force)
+      .text(value.view)
+      .number(value.latencies.size());
+  for (const auto& [way, minimum] : value.latencies)
     writer.text(way.first).text(way.second).number(static_cast<std::uint64_t>(minimum * 1000));
   return writer.take();
 }
 
 bool decode(ByteReader& reader, EdgeViewFrame& value) {
   value.term.value = reader.number();
-  value.in_force = reader.number();
+  value.revision_in_force = reader.number();
   value.view = reader.text();
   for (std::uint64_t left = reader.count(24); left > 0; --left) {
     std::string region = reader.text(), zone = reader.text();
-    value.ways[{std::move(region), std::move(zone)}] = static_cast<double>(reader.number()) / 1000;
+    value.latencies[{std::move(region), std::move(zone)}] =
+        static_cast<double>(reader.number()) / 1000;
   }
   return reader.is_complete();
 }
--- a/src/protocol/frames.h
+++ b/src/protocol/frames.h
@@ -15,20 +15,20 @@
 namespace saddlewing {
 
 enum class FrameKind : std::uint64_t {
-  raft = 1,   // agreement between registries
-  forward,    // an operator's call handed to the leader
-  forwarded,  // its outcome
-  follow,     // a broker says what it holds
-  heartbeat,  // a registry says what it holds
-  body,       // a configuration
-  endpoints,  // entries of the registry of backends
-  trace,      // the tracer asks
-  traced,     // a node's recent steps
-  aid,        // a broker has parts gathered by one near the backends
-  aided,      // what came of it
-  renewed,    // backends that told a registry of themselves
-  ring_call,  // an operator's call concerning the ring
-  ring_answer,
+  raft = 1,         // agreement between registries
+  forwarded_call,   // an operator's call handed to the leader
+  forwarded_reply,  // its outcome
+  subscribe,        // a broker says what it holds
+  heartbeat,        // a registry says what it holds
+  configuration,    // a configuration
+  endpoint_list,    // entries of the registry of backends
+  trace_request,    // the tracer asks
+  trace_reply,      // a node's recent steps
+  gather_request,   // a broker has parts gathered by one near the backends
+  gather_result,    // what came of it
+  renewed_ids,      // backends that told a registry of themselves
+  ring_call,        // an operator's call concerning the ring
+  ring_reply,
   edge_sums,               // how fast edges answered, from a registry to the leader
   edge_view,               // what the leader made of it, to its peers
   cluster_status_request,  // an operator asks what a registry knows of its core; see
@@ -124,7 +124,7 @@
   Version version;
   std::uint64_t endpoints_incarnation = 0,
                 endpoints_revision = 0;  // what the broker holds of this registry's roster
-  bool wants_body = false;
+  bool wants_configuration = false;
   bool wants_endpoints = false;  // this registry feeds it: roster and seats come from here
   std::string region;
   bool is_ready = false;
@@ -133,21 +133,22 @@
   // Of a pooler:
   std::uint64_t leadership_revision = 0;  // the table of leads it acts by; 0 of a broker
   std::string zone;                       // empty of a broker
-  std::string failing,
-      fine;  // a bit for each lead of that table: nothing but breakdowns of late; heard of late
-  std::string samples;            // places in logs, see coordination/samples.h
+  std::string failing_leaderships,
+      healthy_leaderships;  // a bit for each lead of that table: nothing but breakdowns of late;
+                            // heard of late
+  std::string samples;      // places in logs, see coordination/samples.h
   std::uint64_t samples_age = 0;  // milliseconds since they were gathered
   // Of a broker, where a ring is in force:
-  std::uint64_t ring_revision = 0;  // of the sheet it acts by alone
-  std::uint64_t ring_held = 0;      // of the sheet it has
-  std::string ring_loads;           // what it sent to each virtual node since its last follow
-  std::string account_loads;        // the same of its busiest accounts
+  std::uint64_t ring_revision = 0;         // of the sheet it acts by alone
+  std::uint64_t latest_ring_revision = 0;  // of the sheet it has
+  std::string ring_loads;     // what it sent to each virtual node since its last follow
+  std::string account_loads;  // the same of its busiest accounts
   std::uint64_t lookups = 0, late_lookups = 0;  // short ones, and how many of them missed their aim
   // Of a broker, where the view of edges is on:
-  std::string edge_counts;          // to its feed, since the last
-  std::uint64_t edges_held = 0;     // mark of the newest view it has
-  IncarnationId echo_incarnation;   // of this registry, as the last beat heard of it named it;
-  std::uint64_t echo = 0, gap = 0;  // that beat, and milliseconds since
+  std::string edge_counts;               // to its feed, since the last
+  std::uint64_t edge_view_revision = 0;  // mark of the newest view it has
+  IncarnationId echo_incarnation;        // of this registry, as the last beat heard of it named it;
+  std::uint64_t echo_serial = 0, echo_delay = 0;  // that beat, and milliseconds since
 };
 
 // A broker as others may ask it for aid.
@@ -161,17 +162,18 @@
   IncarnationId requester;  // the broker's life that it is for
   std::uint64_t token = 0;  // of that broker's last follow
   Version version;
-  Version in_force;           // every broker heard of late holds it, or the wait for that is over
+  Version version_in_force;   // every broker heard of late holds it, or the wait for that is over
   bool is_confirmed = false;  // a quorum stands behind it
   bool is_filled = false;     // its roster was refilled since it started
   bool is_leader = false;     // it leads in that term, under a lease
   std::string zone, region;   // of the registry
-  std::uint64_t brokers = 0;  // brokers heard of late
-  std::uint64_t grant = 0;    // thousandths of a further try, from the leader alone
-  std::uint64_t grant_valid = 0;        // milliseconds; 0: no word of a grant
-  std::vector<std::string> registries;  // inner addresses of the core
-  std::uint64_t brokers_revision = 0;   // of the ready brokers
-  std::vector<BrokerEndpoint> seats;  // they themselves, unless the broker knows this mark already
+  std::uint64_t broker_count = 0;          // brokers heard of late
+  std::uint64_t retry_grant = 0;           // thousandths of a further try, from the leader alone
+  std::uint64_t retry_grant_validity = 0;  // milliseconds; 0: no word of a grant
+  std::vector<std::string> registries;     // inner addresses of the core
+  std::uint64_t brokers_revision = 0;      // of the ready brokers
+  std::vector<BrokerEndpoint>
+      broker_endpoints;  // they themselves, unless the broker knows this mark already
   // To a pooler:
   std::uint64_t lease = 0;  // milliseconds from that follow's leaving; 0: none granted
   std::uint64_t leadership_revision = 0;
@@ -179,17 +181,17 @@
   std::string samples;       // with ages as of this beat's leaving
   std::uint64_t serial = 0;  // of this beat, for the echo
   // To a broker:
-  std::uint64_t ring_revision = 0;   // 0: no ring
-  std::string ring;                  // the sheet, unless the broker has it
-  std::uint64_t edges_in_force = 0;  // from the leader alone; 0: no word of it
-  std::string edges;                 // the newest view, unless the broker has it
+  std::uint64_t ring_revision = 0;       // 0: no ring
+  std::string ring;                      // the sheet, unless the broker has it
+  std::uint64_t edge_view_in_force = 0;  // from the leader alone; 0: no word of it
+  std::string edge_view;                 // the newest view, unless the broker has it
 };
 
 // An operator's call, from the command line, and its outcome.
 struct RingCall {
   std::string verb, text;  // apply: the file; move: virtual node and receiver; undo: the move
 };
-struct RingAnswer {
+struct RingReply {
   bool is_done = false;
   std::string leader;  // not done, and another leads: ask there
   std::string reason;  // not done
@@ -203,9 +205,9 @@
 };
 struct EdgeViewFrame {
   Term term;  // in which the sender leads
-  std::uint64_t in_force = 0;
-  std::string view;                                            // empty: there is none yet
-  std::map<std::pair<std::string, std::string>, double> ways;  // see EdgeLatencyAggregator
+  std::uint64_t revision_in_force = 0;
+  std::string view;                                                 // empty: there is none yet
+  std::map<std::pair<std::string, std::string>, double> latencies;  // see EdgeLatencyAggregator
 };
 
 struct ConfigurationPayload {
@@ -213,30 +215,30 @@
   std::string body;  // packed
 };
 
-enum class Phase : std::uint64_t {
+enum class EndpointPhase : std::uint64_t {
   ready,
-  emptying,
+  draining,
   gone
 };
-enum class Status : std::uint64_t {
+enum class EndpointStatus : std::uint64_t {
   up,
   down,
   starting,
   out_of_service,
   unknown
 };
-const char* name_of(Status status);
+const char* name_of(EndpointStatus status);
 
 // An entry as it travels: spans, never instants.
 struct Endpoint {
   std::string id, service, address, zone, software;
   std::uint64_t capacity = 1;
-  Phase phase{};
-  Status status = Status::starting;
-  std::uint64_t stamp = 0;                      // of status and hold; the greater wins
-  std::uint64_t warm_left = 0, lease_left = 0;  // milliseconds
-  bool is_leader = false;                       // of a database, as it sees itself
-  std::uint64_t call_count = 0;                 // of its own calls
+  EndpointPhase phase{};
+  EndpointStatus status = EndpointStatus::starting;
+  std::uint64_t status_revision = 0;              // of status and hold; the greater wins
+  std::uint64_t warmup_left = 0, lease_left = 0;  // milliseconds
+  bool is_leader = false;                         // of a database, as it sees itself
+  std::uint64_t call_count = 0;                   // of its own calls
 };
 
 // Holds renewed at the sender since its last such frame.
@@ -253,47 +255,47 @@
   bool is_complete = false;  // everything, not only what changed since `base`
   bool is_observed = false;  // the sender lists the platform itself at present
   bool is_filled = false;
-  bool wants_whole = false;  // the sender missed something of the receiver's
-  std::string zone;          // of the sender
-  std::uint64_t base = 0, revision = 0;
+  bool wants_full_list = false;  // the sender missed something of the receiver's
+  std::string zone;              // of the sender
+  std::uint64_t base_revision = 0, revision = 0;
   std::vector<Endpoint> entries;
 };
 
 // One step in the life of an version at a node.
-struct Step {
+struct VersionEvent {
   Version version;
   std::string what;       // taken, committed, sent, held, in force
   std::uint64_t age = 0;  // milliseconds before the reply
 };
 
-struct Traced {
+struct TraceReply {
   std::string node, role;
-  Version held;
+  Version version;
   bool is_leader = false;
-  std::vector<Step> steps;
+  std::vector<VersionEvent> events;
   std::vector<std::string> registries, brokers;  // inner addresses it knows
 };
 
 struct GatherRequest {
   std::uint64_t token = 0;
-  std::string method, try_id, head_start, body;
+  std::string method, try_id, request_head, body;
   std::vector<std::string> services;
   std::uint64_t best_count = 1, time_left = 0, flush_after = 0;  // milliseconds
 };
 
 struct GatherResult {
-  struct Done {
+  struct CompletedPart {
     std::uint64_t part;
-    std::string seal;
+    std::string checksum;
   };
-  struct Failed {
+  struct FailedPart {
     std::uint64_t part, kind;
     bool may_have_run;
   };
   std::uint64_t token = 0;
-  std::vector<Done> done;  // their greatest records are merged in `records`
-  std::vector<Failed> failed;
-  std::uint64_t held = 0;  // milliseconds between the aid's coming and this frame
+  std::vector<CompletedPart> done;  // their greatest records are merged in `records`
+  std::vector<FailedPart> failed;
+  std::uint64_t processing_time = 0;  // milliseconds between the aid's coming and this frame
   std::string records;
 };
 
@@ -306,12 +308,12 @@
 std::string encode(const FrameHead& head, const ControlHeartbeat& value);
 std::string encode(const FrameHead& head, const ConfigurationPayload& value);
 std::string encode(const FrameHead& head, const EndpointList& value);
-std::string encode(const FrameHead& head, const Traced& value);
+std::string encode(const FrameHead& head, const TraceReply& value);
 std::string encode(const FrameHead& head, const GatherRequest& value);
 std::string encode(const FrameHead& head, const GatherResult& value);
 std::string encode(const FrameHead& head, const RenewedIds& value);
 std::string encode(const FrameHead& head, const RingCall& value);
-std::string encode(const FrameHead& head, const RingAnswer& value);
+std::string encode(const FrameHead& head, const RingReply& value);
 std::string encode(const FrameHead& head, const EdgeSums& value);
 std::string encode(const FrameHead& head, const EdgeViewFrame& value);
 std::string encode_trace(const FrameHead& head);
@@ -325,12 +327,12 @@
 bool decode(ByteReader& reader, ControlHeartbeat& value);
 bool decode(ByteReader& reader, ConfigurationPayload& value);
 bool decode(ByteReader& reader, EndpointList& value);
-bool decode(ByteReader& reader, Traced& value);
+bool decode(ByteReader& reader, TraceReply& value);
 bool decode(ByteReader& reader, GatherRequest& value);
 bool decode(ByteReader& reader, GatherResult& value);
 bool decode(ByteReader& reader, RenewedIds& value);
 bool decode(ByteReader& reader, RingCall& value);
-bool decode(ByteReader& reader, RingAnswer& value);
+bool decode(ByteReader& reader, RingReply& value);
 bool decode(ByteReader& reader, EdgeSums& value);
 bool decode(ByteReader& reader, EdgeViewFrame& value);
 
--- a/src/protocol/version_trace.h
+++ b/src/protocol/version_trace.h
@@ -10,13 +10,13 @@
  public:
   explicit VersionTrace(std::size_t limit) : max_(limit) {
   }
-  void note(Version version, const char* what, TimePoint now) {
+  void record(Version version, const char* what, TimePoint now) {
     steps_.push_back({version, what, now});
     if (steps_.size() > max_)
       steps_.pop_front();
   }
-  std::vector<Step> tell(TimePoint now) const {
-    std::vector<Step> told;
+  std::vector<VersionEvent> events(TimePoint now) const {
+    std::vector<VersionEvent> told;
     for (const Stamped& step : steps_)
       told.push_back(
           {step.version, step.what, static_cast<std::uint64_t>(elapsed(step.when, now).count())});
--- a/src/registry/backend_monitor.cpp
+++ b/src/registry/backend_monitor.cpp
@@ -112,10 +112,10 @@
     probe.caller = std::make_unique<HttpClientConnection>(poller_, *this, address, max_head, 65536);
     by_caller_[probe.caller.get()] = &probe;
   }
-  const std::string bytes = std::string(row_of(Call::probe_backend).method) + " " +
+  const std::string bytes = std::string(row_of(HttpCall::probe_backend).method) + " " +
                             probe.target.health_path +
                             " HTTP/1.1\r\nHost: " + probe.target.address + "\r\n" +
-                            field::meant_server + ": " + probe.target.id + "\r\n\r\n";
+                            header_name::target_server + ": " + probe.target.id + "\r\n\r\n";
   probe.is_waiting = probe.caller->ask(bytes, false);
   timers_.set(probe,
               probe.is_waiting ? now + std::min(probe_wait, settings_.renewal / 2) : probe.next);
@@ -142,8 +142,8 @@
     listing_.caller = std::make_unique<HttpClientConnection>(poller_, *this, settings_.platform,
                                                              max_head, max_page);
   }
-  std::string bytes = std::string(row_of(Call::list_backends).method) + " " +
-                      std::string(row_of(Call::list_backends).path);
+  std::string bytes = std::string(row_of(HttpCall::list_backends).method) + " " +
+                      std::string(row_of(HttpCall::list_backends).path);
   if (!listing_.token.empty())
     bytes += "?page_token=" + encode_query(listing_.token);
   bytes += " HTTP/1.1\r\nHost: " + settings_.platform.text() + "\r\n\r\n";
@@ -190,12 +190,12 @@
     const std::string state = text_of(value, "state");
     if (entry.id.empty() || entry.service.empty() || entry.address.empty())
       continue;  // of no use to anyone
-    entry.phase = state == "emptying" ? Phase::emptying : Phase::ready;
+    entry.phase = state == "emptying" ? EndpointPhase::draining : EndpointPhase::ready;
     if (value["capacity"].isNumeric())
       entry.capacity =
           static_cast<std::uint64_t>(std::clamp(value["capacity"].asDouble(), 1.0, 1e6));
     if (value["warm_left_ms"].isNumeric())
-      entry.warm_left =
+      entry.warmup_left =
           static_cast<std::uint64_t>(std::clamp(value["warm_left_ms"].asDouble(), 0.0, 1e9));
     listing_.entries.push_back(std::move(entry));
     if (listing_.entries.size() > max_entries)
@@ -237,7 +237,7 @@
   probe->is_waiting = false;
   timers_.set(*probe, std::max(now, probe->next));
   const auto& response = caller.reader().response();
-  if (response.getStatus() == 200 && response.get(field::server_id, "") == probe->target.id)
+  if (response.getStatus() == 200 && response.get(header_name::server_id, "") == probe->target.id)
     events_.push(Renewed{probe->target.id});
 }
 
--- a/src/registry/command_dispatcher.cpp
+++ b/src/registry/command_dispatcher.cpp
@@ -87,16 +87,16 @@
   if (!command.order.text.empty()) {
     timers_.set(command, now + database_wait);
     command.link = std::make_unique<DatabaseTransport>(
-        poller_, DatabaseTransport::Owner{[this, &command](WireMessage&& message) {
+        poller_, DatabaseTransport::Owner{[this, &command](DatabaseMessage&& message) {
                                             return take(command, std::move(message));
                                           },
-                                          [this, &command](WireStep) {
+                                          [this, &command](DatabaseReadResult) {
                                             finish(command, 0);
                                           }});
     Address address;
     if (!parse_address(command.order.address, address) || !command.link->connect(address) ||
-        !command.link->send(encode_message(
-            WireKind::connect, {command.order.service, "saddlewing", command.order.id})))
+        !command.link->send(encode_database_message(
+            DatabaseMessageKind::connect, {command.order.service, "saddlewing", command.order.id})))
       finish(command, 0);
     return;
   }
@@ -107,9 +107,9 @@
   Json::StreamWriterBuilder builder;
   builder["indentation"] = "";
   const std::string body = Json::writeString(builder, value);
-  const CallRow& row = row_of(Call::promote);
-  const std::string fields = std::string(field::duty_owner) + ": " + settings_.node_name + "\r\n" +
-                             field::owner_number + ": " +
+  const HttpCallRow& row = row_of(HttpCall::promote);
+  const std::string fields = std::string(header_name::duty_owner) + ": " + settings_.node_name +
+                             "\r\n" + header_name::owner_number + ": " +
                              std::to_string(command.order.owner_number) + "\r\n";
   call(command, settings_.platform, row, fields, body);
 }
@@ -119,13 +119,14 @@
   Address address;
   if (!parse_address(command.order.address, address))
     return finish(command, 0);
-  call(command, address, row_of(Call::move_step),
-       std::string(field::meant_server) + ": " + command.order.id + "\r\n",
+  call(command, address, row_of(HttpCall::move_step),
+       std::string(header_name::target_server) + ": " + command.order.id + "\r\n",
        command.order.node_order);
 }
 
-void CommandDispatcher::call(PendingCommand& command, const Address& address, const CallRow& row,
-                             const std::string& fields, const std::string& body) {
+void CommandDispatcher::call(PendingCommand& command, const Address& address,
+                             const HttpCallRow& row, const std::string& fields,
+                             const std::string& body) {
   std::string request = std::string(row.method) + " " + std::string(row.path) +
                         " HTTP/1.1\r\nHost: " + address.text() + "\r\n" + fields;
   request += "Content-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) +
@@ -137,19 +138,19 @@
     finish(command, 0);
 }
 
-bool CommandDispatcher::take(PendingCommand& command, WireMessage&& message) {
+bool CommandDispatcher::take(PendingCommand& command, DatabaseMessage&& message) {
   if (command.is_over)
     return false;
-  if (message.kind == WireKind::error)
+  if (message.kind == DatabaseMessageKind::error)
     finish(command, 0);
-  if (message.kind == WireKind::row)
+  if (message.kind == DatabaseMessageKind::row)
     command.row = message.field(0);
-  if (message.kind != WireKind::ready || command.is_over)
+  if (message.kind != DatabaseMessageKind::ready || command.is_over)
     return !command.is_over;
   if (command.is_greeted)
     finish(command, 200);
   else if (!is_leased(command.order, Clock::now()) ||
-           !command.link->send(wire_ask("-", command.order.text)))
+           !command.link->send(encode_query("-", command.order.text)))
     finish(command, 0);
   command.is_greeted = true;
   return !command.is_over;
@@ -180,7 +181,7 @@
   }
   Examined examined{command.order.token, std::nullopt};
   DatabaseStatus read;
-  if (status == 200 && read_status(command.row, read))
+  if (status == 200 && read_database_status(command.row, read))
     examined.status = read;
   events_.push(std::move(examined));
   command.link->close();
--- a/src/registry/command_dispatcher.h
+++ b/src/registry/command_dispatcher.h
@@ -6,12 +6,12 @@
 #include <memory>
 #include <thread>
 
-#include "registry/events.h"
 #include "protocol/http_calls.h"
+#include "registry/events.h"
 #include "state/node_settings.h"
+#include "transport/database_transport.h"
 #include "transport/http_client_connection.h"
 #include "transport/timer_queue.h"
-#include "transport/database_transport.h"
 
 namespace saddlewing {
 
@@ -56,9 +56,9 @@
   void run();
   void begin(DispatchedCommand order, TimePoint now);
   void begin_node(PendingCommand& command, TimePoint now);
-  void call(PendingCommand& command, const Address& address, const CallRow& row,
+  void call(PendingCommand& command, const Address& address, const HttpCallRow& row,
             const std::string& fields, const std::string& body);
-  bool take(PendingCommand& command, WireMessage&& message);
+  bool take(PendingCommand& command, DatabaseMessage&& message);
   void finish(PendingCommand& command, int status);
   bool is_leased(const DispatchedCommand& order, TimePoint now) const;
 
--- a/src/registry/control_databases.cpp
+++ b/src/registry/control_databases.cpp
@@ -25,7 +25,7 @@
 void ControlLoop::handle_backend_call(BackendCall& call, TimePoint now) {
   // A cancel that only a registry cut off from the others holds would be acknowledged and not
   // followed.
-  const bool is_cancel = call.entry.phase != Phase::ready;
+  const bool is_cancel = call.entry.phase != EndpointPhase::ready;
   if (!settings_.is_signing_up || (is_cancel && !raft_.is_confirmed(now)))
     return operator_api_->tell({call.token, false, {}});
   const std::string zone = call.entry.zone;
@@ -81,9 +81,9 @@
     services[service.name] = service.sync;
   std::vector<DatabaseEndpoint> seats;
   for (const auto& [id, line] : registry_.lines())
-    if (line.entry.phase != Phase::gone)
+    if (line.entry.phase != EndpointPhase::gone)
       seats.push_back({id, line.entry.service, line.entry.zone, line.entry.is_leader,
-                       line.entry.phase == Phase::ready, line.last_heartbeat});
+                       line.entry.phase == EndpointPhase::ready, line.last_heartbeat});
   failover_.tick(true, leaderships_, services, seats, now);
   Failover::Output output = failover_.take();
   for (const std::string& news : output.news)
@@ -123,14 +123,15 @@
                                 Broker& broker, ControlHeartbeat& heartbeat, TimePoint now) {
   broker.is_pooler = true;
   failover_.record_pooler(from.from, from.incarnation, follow.leadership_revision, follow.zone,
-                          follow.failing, follow.fine, now);
+                          follow.failing_leaderships, follow.healthy_leaderships, now);
   // The follow was built that long after our beat came there, so not before that long after it
   // left.
-  if (const auto sent = broker.heartbeats.find(follow.echo_incarnation, follow.echo);
+  if (const auto sent = broker.heartbeats.find(follow.echo_incarnation, follow.echo_serial);
       sent && !follow.samples.empty())
     samples_.take(
         follow.samples,
-        *sent + Duration(static_cast<std::int64_t>(std::min<std::uint64_t>(follow.gap, 60000))) -
+        *sent +
+            Duration(static_cast<std::int64_t>(std::min<std::uint64_t>(follow.echo_delay, 60000))) -
             Duration(
                 static_cast<std::int64_t>(std::min<std::uint64_t>(follow.samples_age, 60000))));
   if (raft_.is_leased(now) && !should_leave_)
--- a/src/registry/control_discovery.cpp
+++ b/src/registry/control_discovery.cpp
@@ -34,9 +34,9 @@
     peer.observed = now;
   peer.last_contact = now;
   peer.zone = endpoints.zone;
-  if (endpoints.wants_whole)
+  if (endpoints.wants_full_list)
     peer.full_sync_due = {};
-  if (!endpoints.is_complete && endpoints.base > peer.received_revision)
+  if (!endpoints.is_complete && endpoints.base_revision > peer.received_revision)
     peer.is_missing = true;
   else
     peer.received_revision = endpoints.revision,
@@ -61,7 +61,7 @@
   }
   std::int64_t up = 0;
   for (const auto& [id, line] : registry_.lines())
-    up += line.entry.status == Status::up;
+    up += line.entry.status == EndpointStatus::up;
   metrics().set(Metric::backends_up, up);
   metrics().set(Metric::brokers, static_cast<std::int64_t>(brokers_.size()));
   metrics().set(Metric::evictions, static_cast<std::int64_t>(registry_.evicted()));
@@ -105,7 +105,7 @@
     EndpointList endpoints = registry_.since(is_complete ? 0 : peer.sent_revision, now);
     endpoints.is_observed = is_observing_;
     endpoints.zone = settings_.zone;
-    endpoints.wants_whole = peer.is_missing;
+    endpoints.wants_full_list = peer.is_missing;
     peer.sent_revision = registry_.revision();
     if (is_complete)
       peer.full_sync_due = now + full_sync_interval;
@@ -134,7 +134,7 @@
         seats.begin());
     for (std::size_t count = 0; count < std::min(seats.size(), seats_told); ++count, ++position) {
       const auto& [hash, address] = seats[position % seats.size()];
-      heartbeat.seats.push_back({address, region});
+      heartbeat.broker_endpoints.push_back({address, region});
       heartbeat.brokers_revision = heartbeat.brokers_revision * 31 + hash + 1;
     }
   }
@@ -150,26 +150,26 @@
   heartbeat.region = settings_.region;
   if (raft_.committed())
     heartbeat.version = raft_.committed()->version;
-  heartbeat.in_force = rollout_.in_force();
+  heartbeat.version_in_force = rollout_.in_force();
   heartbeat.is_confirmed = raft_.is_confirmed(now);
   heartbeat.is_filled = registry_.is_filled();
-  heartbeat.brokers =
+  heartbeat.broker_count =
       std::max<std::uint64_t>(brokers_.size(), now - born_ < start_span ? remembered_brokers_ : 0);
   heartbeat.registries = raft_.known_addresses();
   heartbeat.registries.push_back(address_);
   if (to.wants_endpoints && !to.is_pooler)
     choose_seats(to, heartbeat);
   if (is_granting && heartbeat.is_leader) {
-    heartbeat.grant = static_cast<std::uint64_t>(
+    heartbeat.retry_grant = static_cast<std::uint64_t>(
         grants_.grant(to.from, to.incarnation, brokers_.size(), now) * 1000);
-    heartbeat.grant_valid = static_cast<std::uint64_t>(grants_.valid().count());
+    heartbeat.retry_grant_validity = static_cast<std::uint64_t>(grants_.valid().count());
   }
   if (heartbeat.brokers_revision == to.brokers_revision)
-    heartbeat.seats.clear();
+    heartbeat.broker_endpoints.clear();
   if (settings_.has_edges && heartbeat.is_leader && heartbeat.is_confirmed && !to.is_pooler) {
-    heartbeat.edges_in_force = static_cast<std::uint64_t>(edge_rollout_.in_force().value);
+    heartbeat.edge_view_in_force = static_cast<std::uint64_t>(edge_rollout_.in_force().value);
     if (to.edges_held < edge_aggregator_.view()->revision)
-      heartbeat.edges = edges_text_;
+      heartbeat.edge_view = edges_text_;
   }
   heartbeat.leadership_revision = leaderships_.revision;
   if (to.is_pooler && heartbeat.is_leader && to.leadership_revision < leaderships_.revision)
@@ -214,7 +214,7 @@
   if (settings_.has_edges && !broker.is_pooler)
     handle_edge_subscription(follow, broker);
   send_heartbeat(broker, true, now, std::move(heartbeat));
-  if (follow.wants_body && configuration_ && configuration_->version > follow.version)
+  if (follow.wants_configuration && configuration_ && configuration_->version > follow.version)
     frame_server_.send(routing_id,
                        encode(head(), ConfigurationPayload{configuration_->version, packed_}));
   if (follow.wants_endpoints && broker.sent_revision == 0 && registry_.revision() == 0)
@@ -282,20 +282,20 @@
   const VersionRollout::Turn turn = rollout_.advance(held, now);
   if (turn == VersionRollout::Turn::none)
     return;
-  steps_.note(rollout_.in_force(),
-              turn == VersionRollout::Turn::held_by_all ? "held by all" : "waited enough", now);
+  steps_.record(rollout_.in_force(),
+                turn == VersionRollout::Turn::held_by_all ? "held by all" : "waited enough", now);
   for (auto& [from, broker] : brokers_)
     send_heartbeat(broker, false, now);
 }
 
 void ControlLoop::handle_trace(const std::string& routing_id, TimePoint now) {
-  Traced traced;
+  TraceReply traced;
   traced.node = settings_.node_name;
   traced.role = "registry";
   if (raft_.committed())
-    traced.held = raft_.committed()->version;
+    traced.version = raft_.committed()->version;
   traced.is_leader = raft_.is_leader();
-  traced.steps = steps_.tell(now);
+  traced.events = steps_.events(now);
   traced.registries = raft_.known_addresses();
   traced.registries.push_back(address_);
   for (const auto& [from, broker] : brokers_)
--- a/src/registry/control_edges.cpp
+++ b/src/registry/control_edges.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 void ControlLoop::handle_edge_subscription(const SubscribeRequest& follow, Broker& broker) {
-  broker.edges_held = follow.edges_held;
+  broker.edges_held = follow.edge_view_revision;
   if (follow.edge_counts.empty())
     return;
   const auto [position, is_new] = edge_counts_.try_emplace(follow.region, max_cells_here);
@@ -32,7 +32,7 @@
   fence_.admits(led_in(), false);
   if (!fence_.admits(frame.term, from.from == raft_.leader_address()) || raft_.is_leader())
     return metrics().add(Metric::edge_frames_dropped);
-  edge_aggregator_.take_ways(frame.ways);
+  edge_aggregator_.take_ways(frame.latencies);
   if (frame.view.empty())
     return;
   auto view = std::make_shared<EdgeView>();
@@ -90,7 +90,7 @@
   std::map<EdgeLatencyAggregator::Edge, double> capacity;
   std::map<std::string, double> helpers;
   for (const auto& [id, line] : registry_.lines())
-    if (line.entry.phase == Phase::ready && line.entry.status == Status::up)
+    if (line.entry.phase == EndpointPhase::ready && line.entry.status == EndpointStatus::up)
       capacity[{line.entry.service, line.entry.zone}] +=
           static_cast<double>(std::max<std::uint64_t>(1, line.entry.capacity));
   constexpr double helps_at_once = 8;
--- a/src/registry/control_loop.cpp
+++ b/src/registry/control_loop.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "state/metrics.h"
 #include "state/compression.h"
+#include "state/metrics.h"
 
 namespace saddlewing {
 namespace {
@@ -161,7 +161,7 @@
 void ControlLoop::handle_event(ControlEvent& event, TimePoint now) {
   if (auto* call = std::get_if<OperatorCall>(&event)) {
     if (!call->is_read)
-      steps_.note(call->version, "taken", now);
+      steps_.record(call->version, "taken", now);
     calls_.add(call->is_read, call->version, std::move(call->body), call->token, now + call_wait);
   } else if (const auto* saved = std::get_if<Saved>(&event)) {
     raft_.finish_save(saved->serial, saved->is_saved, now);
@@ -194,16 +194,16 @@
           raft_.receive(message, now);
         break;
       }
-      case FrameKind::forward: {
+      case FrameKind::forwarded_call: {
         ForwardedCall forward;
         if (!(is_good = decode(reader, forward)))
           break;
         if (!forward.is_read)
-          steps_.note(forward.version, "passed on", now);
+          steps_.record(forward.version, "passed on", now);
         calls_.add(std::move(forward), head.from, head.incarnation, now + call_wait);
         break;
       }
-      case FrameKind::forwarded: {
+      case FrameKind::forwarded_reply: {
         ForwardedReply forwarded;
         if (!(is_good = decode(reader, forwarded)))
           break;
@@ -213,13 +213,13 @@
           finish_call(token, true, std::move(forwarded.body));
         break;
       }
-      case FrameKind::follow: {
+      case FrameKind::subscribe: {
         SubscribeRequest follow;
         if ((is_good = decode(reader, follow)))
           handle_subscribe(frame.routing_id, head, follow, now);
         break;
       }
-      case FrameKind::endpoints: {
+      case FrameKind::endpoint_list: {
         EndpointList endpoints;
         if ((is_good = decode(reader, endpoints)))
           handle_endpoints(head, endpoints, now);
@@ -243,14 +243,14 @@
           handle_edge_view(head, frame, now);
         break;
       }
-      case FrameKind::renewed: {
+      case FrameKind::renewed_ids: {
         RenewedIds renewed;
         if ((is_good = decode(reader, renewed)))
           for (const RenewedIds::Item& item : renewed.items)
             registry_.renew_signed(item, now);
         break;
       }
-      case FrameKind::trace:
+      case FrameKind::trace_request:
         handle_trace(frame.routing_id, now);
         break;
       case FrameKind::cluster_status_request:
@@ -362,7 +362,7 @@
   noted_ = raft_.committed();
   if (!is_new_version || noted_->version.value == 0)
     return;
-  steps_.note(noted_->version, "committed", now);
+  steps_.record(noted_->version, "committed", now);
   rollout_.commit(noted_->version, now);
   metrics().set(Metric::version, noted_->version.value);
   LOG(INFO) << "agree: edition " << noted_->version.value << " committed";
@@ -381,7 +381,7 @@
   for (auto& [from, broker] : brokers_)
     send_heartbeat(broker, false, now);
   if (!brokers_.empty())
-    steps_.note(noted_->version, "sent", now);
+    steps_.record(noted_->version, "sent", now);
 }
 
 }  // namespace saddlewing
--- a/src/registry/control_loop.h
+++ b/src/registry/control_loop.h
@@ -4,22 +4,22 @@
 #include <map>
 #include <thread>
 
-#include "coordination/raft/raft_node.h"
-#include "coordination/raft/pending_calls.h"
-#include "coordination/routing/edge_latency.h"
 #include "coordination/databases/failover.h"
-#include "coordination/leases/term_fence.h"
-#include "coordination/leases/retry_quota.h"
+#include "coordination/databases/log_position_samples.h"
 #include "coordination/discovery/service_registry.h"
+#include "coordination/leases/retry_quota.h"
+#include "coordination/leases/term_fence.h"
 #include "coordination/placement/shard_migration.h"
+#include "coordination/raft/pending_calls.h"
+#include "coordination/raft/raft_node.h"
 #include "coordination/rollout/version_rollout.h"
-#include "coordination/databases/log_position_samples.h"
-#include "registry/operator_api.h"
-#include "registry/command_dispatcher.h"
+#include "coordination/routing/edge_latency.h"
+#include "protocol/version_trace.h"
 #include "registry/backend_monitor.h"
+#include "registry/command_dispatcher.h"
 #include "registry/events.h"
+#include "registry/operator_api.h"
 #include "registry/storage_thread.h"
-#include "protocol/version_trace.h"
 #include "state/configuration.h"
 #include "state/node_settings.h"
 #include "transport/frame_link.h"
@@ -101,9 +101,9 @@
   void handle_backend_call(BackendCall& call, TimePoint now);
   void update_databases(TimePoint now);
   void handle_ring_call(const std::string& routing_id, const RingCall& call, TimePoint now);
-  RingAnswer answer_ring(const RingCall& call, TimePoint now);
+  RingReply answer_ring(const RingCall& call, TimePoint now);
   Error check_ring(const std::string& file, RingMap& ring) const;
-  RingAnswer answer_move(const RingCall& call, TimePoint now);
+  RingReply answer_move(const RingCall& call, TimePoint now);
   void bound_ring_reads();
   std::string show_ring(bool has_proposals, TimePoint now);
   void update_ring(TimePoint now);
--- a/src/registry/control_ring.cpp
+++ b/src/registry/control_ring.cpp
@@ -147,7 +147,7 @@
   return write(root);
 }
 
-RingAnswer ControlLoop::answer_move(const RingCall& call, TimePoint now) {
+RingReply ControlLoop::answer_move(const RingCall& call, TimePoint now) {
   RingUnit unit;
   std::string to;
   if (!read_move(call.text, unit, to))
@@ -155,7 +155,7 @@
         false, {}, "a move needs a virtual node, or `account` and its name, and a receiver", {}};
   std::set<std::string> serving;
   for (const auto& [id, line] : registry_.lines())
-    if (line.entry.phase == Phase::ready && line.entry.status == Status::up)
+    if (line.entry.phase == EndpointPhase::ready && line.entry.status == EndpointStatus::up)
       serving.insert(line.entry.service);
   // What it takes off its node, against what it costs.
   double benefit = 0;
@@ -176,16 +176,16 @@
   return {true, {}, {}, "{}"};
 }
 
-RingAnswer ControlLoop::answer_ring(const RingCall& call, TimePoint now) {
+RingReply ControlLoop::answer_ring(const RingCall& call, TimePoint now) {
   const auto refuse = [](const std::string& reason) {
-    return RingAnswer{false, {}, reason, {}};
+    return RingReply{false, {}, reason, {}};
   };
   if (!raft_.is_leader())
     return {false, raft_.leader_address(), "another registry leads", {}};
   if (!raft_.is_leased(now))
     return refuse("no majority of the core answers");
   if (call.verb == "edges")
-    return settings_.has_edges ? RingAnswer{true, {}, {}, show_edges(now)}
+    return settings_.has_edges ? RingReply{true, {}, {}, show_edges(now)}
                                : refuse("the view of edges is off (options.edges)");
   if (call.verb == "apply") {
     RingMap ring;
@@ -218,7 +218,7 @@
         call.text.find_first_not_of("0123456789") != std::string::npos)
       return refuse("undo needs a move's number");
     const std::string reason = shard_migration_.undo(std::stoull(call.text));
-    return reason.empty() ? RingAnswer{true, {}, {}, "{}"} : refuse(reason);
+    return reason.empty() ? RingReply{true, {}, {}, "{}"} : refuse(reason);
   }
   if (call.verb != "status")
     return refuse("unknown call " + call.verb);
@@ -252,7 +252,7 @@
   if (!raft_.is_leased(now))
     return;
   heartbeat.ring_revision = ring_document_.revision;
-  if (follow.ring_held < ring_document_.revision)
+  if (follow.latest_ring_revision < ring_document_.revision)
     heartbeat.ring = ring_text_;
   if (should_leave_)
     return;
@@ -323,8 +323,8 @@
     value["placed"] = order.is_placed;
     const auto address_of = [&](const std::string& node) {
       for (const auto& [id, line] : registry_.lines())
-        if (line.entry.service == node && line.entry.phase == Phase::ready &&
-            line.entry.status == Status::up)
+        if (line.entry.service == node && line.entry.phase == EndpointPhase::ready &&
+            line.entry.status == EndpointStatus::up)
           return line.entry;
       return Endpoint{};
     };
--- a/src/registry/operator_api.cpp
+++ b/src/registry/operator_api.cpp
@@ -94,17 +94,17 @@
 void OperatorApi::on_request(ServerExchange& exchange, TimePoint now) {
   const auto& request = exchange.request();
   const std::string& target = request.getURI();
-  if (target == row_of(Call::metrics).path)
+  if (target == row_of(HttpCall::metrics).path)
     return exchange.answer(
         {200, "OK", "Content-Type: text/plain; version=0.0.4\r\n", metrics().page()}, now);
-  if (target.starts_with(row_of(Call::heartbeat).path))
+  if (target.starts_with(row_of(HttpCall::heartbeat).path))
     return handle_backend_call(exchange, now);
   metrics().add(Metric::calls_taken);
-  if (target.substr(0, target.find('?')) != row_of(Call::put_settings).path)
+  if (target.substr(0, target.find('?')) != row_of(HttpCall::put_settings).path)
     return exchange.answer(json_reply(ErrorCode::no_route, "only /settings is served here"), now);
-  if (request.getMethod() == row_of(Call::get_settings).method)
+  if (request.getMethod() == row_of(HttpCall::get_settings).method)
     return refer(exchange, {0, true, {}, {}}, now);
-  if (request.getMethod() != row_of(Call::put_settings).method)
+  if (request.getMethod() != row_of(HttpCall::put_settings).method)
     return exchange.answer(json_reply(ErrorCode::wrong_method, "GET and PUT are served here"), now);
   const std::string type = request.get("Content-Type", "application/json");
   if (!is_same_name(type.substr(0, type.find_first_of("; ")), "application/json"))
@@ -138,11 +138,11 @@
 void OperatorApi::handle_backend_call(ServerExchange& exchange, TimePoint now) {
   const auto& request = exchange.request();
   BackendCall call;
-  const bool is_leaving = request.getMethod() == row_of(Call::leave).method;
-  if (!is_leaving && request.getMethod() != row_of(Call::heartbeat).method)
+  const bool is_leaving = request.getMethod() == row_of(HttpCall::deregister).method;
+  if (!is_leaving && request.getMethod() != row_of(HttpCall::heartbeat).method)
     return exchange.answer(json_reply(ErrorCode::wrong_method, "PUT and DELETE are served here"),
                            now);
-  const std::string id = request.getURI().substr(row_of(Call::heartbeat).path.size());
+  const std::string id = request.getURI().substr(row_of(HttpCall::heartbeat).path.size());
   Error found = read_backend_heartbeat(id, exchange.body(), is_leaving, call.entry);
   if (found) {
     LOG_EVERY_N(WARNING, 20) << "steering: beat refused: " << found.step;
--- a/src/transport/database_transport.cpp
+++ b/src/transport/database_transport.cpp
@@ -26,7 +26,7 @@
   tcp_ = TcpConnection();
 }
 
-void DatabaseTransport::end(WireStep step) {
+void DatabaseTransport::end(DatabaseReadResult step) {
   if (state_ == State::ended)
     return;
   close();
@@ -47,14 +47,14 @@
 void DatabaseTransport::finish() {
   is_finishing_ = true;
   if (state_ == State::open && out_.empty())
-    end(WireStep::more);
+    end(DatabaseReadResult::incomplete);
 }
 
 void DatabaseTransport::flush() {
   while (sent_ < out_.size()) {
     const Transfer gone = tcp_.send(out_.data() + sent_, out_.size() - sent_);
     if (gone.is_closed)
-      return end(WireStep::more);
+      return end(DatabaseReadResult::incomplete);
     if (!gone.count)
       return poller_.change(tcp_.socket(), Poller::write | (is_full_ ? 0 : Poller::read));
     sent_ += gone.count;
@@ -63,13 +63,13 @@
   sent_ = 0;
   poller_.change(tcp_.socket(), is_full_ ? 0 : Poller::read);
   if (is_finishing_)
-    end(WireStep::more);
+    end(DatabaseReadResult::incomplete);
 }
 
 void DatabaseTransport::on_ready(bool is_readable, bool is_writable) {
   if (state_ == State::connecting) {
     if (!tcp_.is_connected_well())
-      return end(WireStep::more);
+      return end(DatabaseReadResult::incomplete);
     if (!is_writable)
       return;
     state_ = State::open;
@@ -86,7 +86,7 @@
   for (;;) {
     const Transfer got = tcp_.receive(bytes, sizeof bytes);
     if (got.is_closed)
-      return end(WireStep::more);
+      return end(DatabaseReadResult::incomplete);
     if (!got.count)
       break;
     if (is_finishing_)
@@ -111,11 +111,11 @@
     return;  // whoever is told now goes on when it returns
   is_telling_ = true;
   while (state_ == State::open && !is_held_ && !is_finishing_) {
-    WireMessage message;
-    const WireStep step = read_wire(in_, message);
-    if (step == WireStep::more)
+    DatabaseMessage message;
+    const DatabaseReadResult step = read_database_message(in_, message);
+    if (step == DatabaseReadResult::incomplete)
       break;
-    if (step != WireStep::done) {
+    if (step != DatabaseReadResult::complete) {
       owner_.on_end(step);  // it may still say something before it closes
       break;
     }
--- a/src/transport/database_transport.h
+++ b/src/transport/database_transport.h
@@ -12,8 +12,9 @@
 class DatabaseTransport final : public Watcher {
  public:
   struct Owner {
-    std::function<bool(WireMessage&&)> on_message;  // false: no more for now; `resume` goes on
-    std::function<void(WireStep)> on_end;  // more: the peer ended it; else what could not be read
+    std::function<bool(DatabaseMessage&&)> on_message;  // false: no more for now; `resume` goes on
+    std::function<void(DatabaseReadResult)>
+        on_end;  // more: the peer ended it; else what could not be read
   };
   DatabaseTransport(Poller& poller, Owner owner) : poller_(poller), owner_(std::move(owner)) {
   }
@@ -44,8 +45,9 @@
   void read();
   void flush();
   void tell();
-  void end(WireStep step);
-  static constexpr std::size_t max_unsent = 8u << 20, max_ahead = max_message_bytes + 65536;
+  void end(DatabaseReadResult step);
+  static constexpr std::size_t max_unsent = 8u << 20,
+                               max_ahead = max_database_message_bytes + 65536;
 
   Poller& poller_;
   Owner owner_;
--- a/src/transport/http_client_connection.cpp
+++ b/src/transport/http_client_connection.cpp
@@ -117,14 +117,14 @@
   if (try_id_.empty())
     return false;
   const auto& response = reader_.response();
-  return response.has(field::try_id) && response.get(field::try_id) != try_id_;
+  return response.has(header_name::try_id) && response.get(header_name::try_id) != try_id_;
 }
 
 bool HttpClientConnection::is_of_two() const {
   const auto& response = reader_.response();
-  auto found = response.find(field::try_id);
+  auto found = response.find(header_name::try_id);
   return found != response.end() && ++found != response.end() &&
-         is_same_name(found->first, field::try_id);
+         is_same_name(found->first, header_name::try_id);
 }
 
 void HttpClientConnection::read(TimePoint now) {
--- a/tests/broker/exchange_fixture.h
+++ b/tests/broker/exchange_fixture.h
@@ -125,8 +125,8 @@
       entry.service = "s";
       entry.address = Address{"127.0.0.1", door.port}.text();
       entry.zone = "z";
-      entry.phase = Phase::ready;
-      entry.status = Status::up;
+      entry.phase = EndpointPhase::ready;
+      entry.status = EndpointStatus::up;
       entry.capacity = 1000;
       view->backends.push_back(entry);
     }
--- a/tests/coordination/databases/database_fixture.h
+++ b/tests/coordination/databases/database_fixture.h
@@ -46,8 +46,9 @@
   std::string take(Connection& connection, const std::string& bytes, bool& is_cut) {
     connection.in += bytes;
     std::string out;
-    for (WireMessage message;
-         !connection.is_gone && read_wire(connection.in, message) == WireStep::done;) {
+    for (DatabaseMessage message;
+         !connection.is_gone &&
+         read_database_message(connection.in, message) == DatabaseReadResult::complete;) {
       const bool is_struck = ++messages == strike_at;
       if (is_struck && injected_fault == InjectedFault::cut_before)
         return is_cut = connection.is_gone = true, out;
@@ -64,27 +65,31 @@
   }
   static std::string without_end(std::string answer) {
     std::string kept;
-    for (WireMessage message; read_wire(answer, message) == WireStep::done;)
-      if (message.kind == WireKind::ready)
-        kept += encode_message(WireKind::ready, {message.field(0), message.field(1)});
-      else if (message.kind == WireKind::row)
-        kept += encode_message(WireKind::row, {message.field(0)});
+    for (DatabaseMessage message;
+         read_database_message(answer, message) == DatabaseReadResult::complete;)
+      if (message.kind == DatabaseMessageKind::ready)
+        kept += encode_database_message(DatabaseMessageKind::ready,
+                                        {message.field(0), message.field(1)});
+      else if (message.kind == DatabaseMessageKind::row)
+        kept += encode_database_message(DatabaseMessageKind::row, {message.field(0)});
     return kept;
   }
   std::string ready(const Connection& connection) const {
-    return encode_message(WireKind::ready, {connection.has_failed   ? "E"
-                                            : connection.has_change ? "T"
-                                                                    : "I",
-                                            std::to_string(term) + "." + std::to_string(number)});
+    return encode_database_message(DatabaseMessageKind::ready,
+                                   {connection.has_failed   ? "E"
+                                    : connection.has_change ? "T"
+                                                            : "I",
+                                    std::to_string(term) + "." + std::to_string(number)});
   }
-  std::string handle(Connection& connection, const WireMessage& message) {
+  std::string handle(Connection& connection, const DatabaseMessage& message) {
     if (!connection.is_greeted)
       return connection.is_greeted = true, ready(connection);
     std::string text = message.field(1);
     const auto refuse = [&](const char* code) {
       if (connection.has_change)
         connection.has_failed = true;
-      return encode_message(WireKind::error, {code, "stand-in"}) + ready(connection);
+      return encode_database_message(DatabaseMessageKind::error, {code, "stand-in"}) +
+             ready(connection);
     };
     if (text.starts_with("AFTER ")) {
       LogPosition wanted;
@@ -97,39 +102,41 @@
     if (text == "CLEAR")
       connection.values.clear(), connection.names.clear();
     Statement statement = read_statement(text);
-    if (connection.has_failed && statement.verb != Verb::undo)
+    if (connection.has_failed && statement.verb != StatementVerb::rollback)
       return refuse("GARBLED");
     switch (statement.verb) {
-      case Verb::set:
+      case StatementVerb::set:
         connection.values[statement.first] = statement.second;
         break;
-      case Verb::name:
+      case StatementVerb::prepare:
         connection.names[statement.first] = statement.second;
         break;
-      case Verb::begin:
+      case StatementVerb::begin:
         if (!is_leader)
           return refuse("READONLY");
         [[fallthrough]];
-      case Verb::begin_read:
+      case StatementVerb::begin_read_only:
         connection.has_change = true;
         break;
-      case Verb::undo:
+      case StatementVerb::rollback:
         connection.has_change = connection.has_failed = false, connection.writes.clear();
         break;
-      case Verb::save:
+      case StatementVerb::commit:
         for (const std::string& thing : connection.writes)
           log.push_back(thing);
         number += !connection.writes.empty();
         connection.writes.clear();
         connection.has_change = false;
-        return encode_message(WireKind::done, {"stamp " + message.field(0)}) + ready(connection);
-      case Verb::run:
+        return encode_database_message(DatabaseMessageKind::complete,
+                                       {"stamp " + message.field(0)}) +
+               ready(connection);
+      case StatementVerb::execute:
         if (!connection.names.contains(statement.first))
           return refuse("NOSUCH");
         text = connection.names[statement.first] + " " + statement.rest;
         [[fallthrough]];
-      case Verb::read:
-      case Verb::write: {
+      case StatementVerb::read:
+      case StatementVerb::write: {
         if (text.starts_with("WRITE ")) {
           if (!is_leader)
             return refuse("READONLY");
@@ -141,13 +148,15 @@
         } else {
           reads.push_back({text.substr(5), connection.values});
         }
-        return encode_message(WireKind::row, {"row of " + text}) +
-               encode_message(WireKind::done, {"stamp " + message.field(0)}) + ready(connection);
+        return encode_database_message(DatabaseMessageKind::row, {"row of " + text}) +
+               encode_database_message(DatabaseMessageKind::complete,
+                                       {"stamp " + message.field(0)}) +
+               ready(connection);
       }
       default:
         break;
     }
-    return encode_message(WireKind::done, {"-"}) + ready(connection);
+    return encode_database_message(DatabaseMessageKind::complete, {"-"}) + ready(connection);
   }
 };
 
@@ -175,35 +184,35 @@
       stage.clients_[session.get()] = this;
     }
     std::unique_ptr<Session> session;
-    std::vector<WireMessage> last_contact;
+    std::vector<DatabaseMessage> last_contact;
     std::string bytes;
     std::string told;  // all bytes since its start
     bool is_closed = false;
     TimePoint due = TimePoint::max();
-    const WireMessage& last() const {
+    const DatabaseMessage& last() const {
       return last_contact.back();
     }
     // The verdict of the last statement: empty for done.
     std::string verdict() const {
       for (auto message = last_contact.rbegin(); message != last_contact.rend(); ++message) {
-        if (message->kind == WireKind::done)
+        if (message->kind == DatabaseMessageKind::complete)
           return "";
-        if (message->kind == WireKind::error)
+        if (message->kind == DatabaseMessageKind::error)
           return message->field(0);
       }
       return "nothing";
     }
   };
   void start(Client& client, const std::string& database = "books") {
-    give(client, encode_message(WireKind::connect, {database, "who"}));
+    give(client, encode_database_message(DatabaseMessageKind::connect, {database, "who"}));
   }
   // Gives one statement and carries all messages until nothing moves.
   void say(Client& client, const std::string& text) {
-    give(client, wire_ask("try" + std::to_string(++last_try), text));
+    give(client, encode_query("try" + std::to_string(++last_try), text));
   }
   void give(Client& client, std::string bytes) {
-    WireMessage message;
-    cr_assert(read_wire(bytes, message) == WireStep::done);
+    DatabaseMessage message;
+    cr_assert(read_database_message(bytes, message) == DatabaseReadResult::complete);
     client.last_contact.clear();
     client.session->take(std::move(message), Clock::now());
     pump();
@@ -219,8 +228,9 @@
         std::string bytes = std::exchange(link->out, {});
         const bool is_cut = std::exchange(link->is_cut, false);
         link->in += bytes;
-        for (WireMessage message;
-             links_[position] && read_wire(link->in, message) == WireStep::done;)
+        for (DatabaseMessage message;
+             links_[position] &&
+             read_database_message(link->in, message) == DatabaseReadResult::complete;)
           link->database_connection.take_message(std::move(message), Clock::now());
         if (is_cut && links_[position])
           link->database_connection.take_end();
@@ -247,13 +257,14 @@
   void stop_waiting(Session& session) override {
     waiting.erase(&session);
   }
-  void see_refusal(Backend&, Verdict, TimePoint) override {
+  void see_refusal(Backend&, StatementError, TimePoint) override {
   }
   void say(Session& session, std::string bytes) override {
     Client& client = *clients_[&session];
     client.bytes += bytes;
     client.told += bytes;
-    for (WireMessage message; read_wire(client.bytes, message) == WireStep::done;)
+    for (DatabaseMessage message;
+         read_database_message(client.bytes, message) == DatabaseReadResult::complete;)
       client.last_contact.push_back(message);
   }
   void close(Session& session) override {
--- a/tests/coordination/databases/database_session_test.cpp
+++ b/tests/coordination/databases/database_session_test.cpp
@@ -4,15 +4,16 @@
 using namespace saddlewing;
 using namespace saddlewing::tests;
 
-Test(encode_message, a_message_cut_anywhere_reads_the_same) {
-  const std::string whole = encode_message(WireKind::ask, {"id", "READ a"}) +
-                            encode_message(WireKind::ready, {"I", "3.12"});
+Test(encode_database_message, a_message_cut_anywhere_reads_the_same) {
+  const std::string whole = encode_database_message(DatabaseMessageKind::query, {"id", "READ a"}) +
+                            encode_database_message(DatabaseMessageKind::ready, {"I", "3.12"});
   for (std::size_t cut = 0; cut <= whole.size(); ++cut) {
     std::string bytes = whole.substr(0, cut);
-    std::vector<WireMessage> read;
+    std::vector<DatabaseMessage> read;
     for (const std::string& more : {std::string(), whole.substr(cut)}) {
       bytes += more;
-      for (WireMessage message; read_wire(bytes, message) == WireStep::done;)
+      for (DatabaseMessage message;
+           read_database_message(bytes, message) == DatabaseReadResult::complete;)
         read.push_back(message);
     }
     cr_assert(read.size() == 2 && read[0].field(1) == "READ a" && read[1].field(1) == "3.12",
@@ -20,15 +21,16 @@
   }
 }
 
-Test(encode_message, what_is_no_message_is_told_apart) {
-  WireMessage message;
+Test(encode_database_message, what_is_no_message_is_told_apart) {
+  DatabaseMessage message;
   std::string unknown = "Jabcdef", torn("Q\0\0\0\3abc", 8), large("Q\0\x10\0\1", 5);
-  cr_expect(read_wire(unknown, message) == WireStep::garbled);
-  cr_expect(read_wire(torn, message) == WireStep::garbled, "a field without its end");
-  cr_expect(read_wire(large, message) == WireStep::too_long);
-  cr_expect(read_statement("NAME n SELECT x").verb == Verb::none);
-  cr_expect(read_statement("BEGIN WORK").verb == Verb::none);
-  cr_expect(read_statement("RUN n").verb == Verb::none);
+  cr_expect(read_database_message(unknown, message) == DatabaseReadResult::malformed);
+  cr_expect(read_database_message(torn, message) == DatabaseReadResult::malformed,
+            "a field without its end");
+  cr_expect(read_database_message(large, message) == DatabaseReadResult::too_long);
+  cr_expect(read_statement("NAME n SELECT x").verb == StatementVerb::none);
+  cr_expect(read_statement("BEGIN WORK").verb == StatementVerb::none);
+  cr_expect(read_statement("RUN n").verb == StatementVerb::none);
 }
 
 Test(session, unknown_databases_and_wrong_order_end_it_by_name) {
@@ -36,7 +38,7 @@
   DatabaseSessionFixture::Client stranger(stage), hasty(stage), proper(stage);
   stage.start(stranger, "nobody");
   cr_expect(stranger.verdict() == "NODB" && stranger.is_closed);
-  stage.give(hasty, wire_ask("a", "READ x"));
+  stage.give(hasty, encode_query("a", "READ x"));
   cr_expect(hasty.verdict() == "GARBLED" && hasty.is_closed);
   stage.start(proper);
   for (const char* text : {"SAVE", "UNDO", "AFTER 3.1 READ x", "CLEAR", "STATUS", "what"}) {
@@ -127,8 +129,8 @@
       std::map<std::string, std::string> told;  // by thing: what the client was told of its commit
       for (const std::string& text : script) {
         stage.say(client, text);
-        cr_assert(client.last().kind == WireKind::ready, "%s unanswered, strike %d", text.c_str(),
-                  strike);
+        cr_assert(client.last().kind == DatabaseMessageKind::ready, "%s unanswered, strike %d",
+                  text.c_str(), strike);
         const std::string verdict = client.verdict(),
                           stamp = "stamp try" + std::to_string(stage.last_try);
         const bool is_asked = text.starts_with("R") || text.starts_with("W") || text == "SAVE";
@@ -174,16 +176,16 @@
   cr_expect(client.verdict() == "BUSY", "a promise, as nothing left");
   // The hold ends while the outcome is on its way.
   stage.has_lease = true;
-  WireMessage message;
-  std::string bytes = wire_ask("t", "WRITE b 1");
-  read_wire(bytes, message);
+  DatabaseMessage message;
+  std::string bytes = encode_query("t", "WRITE b 1");
+  read_database_message(bytes, message);
   client.last_contact.clear();
   client.session->take(std::move(message), Clock::now());
   for (int round = 0; round < 2 && stage.databases["leader"].log.empty(); ++round)
     stage.pump();
   cr_expect(stage.databases["leader"].log.size() == 1 && client.verdict().empty());
-  bytes = wire_ask("u", "WRITE c 1");
-  read_wire(bytes, message);
+  bytes = encode_query("u", "WRITE c 1");
+  read_database_message(bytes, message);
   client.last_contact.clear();
   client.session->take(std::move(message), Clock::now());
   stage.has_lease = false;
--- a/tests/coordination/discovery/service_registry_test.cpp
+++ b/tests/coordination/discovery/service_registry_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr TimePoint start = TimePoint{} + 1000s;
 
-Endpoint listed(const std::string& id, Phase phase = Phase::ready) {
+Endpoint listed(const std::string& id, EndpointPhase phase = EndpointPhase::ready) {
   Endpoint entry;
   entry.id = id;
   entry.service = "s";
@@ -25,10 +25,10 @@
   return entries;
 }
 
-Status status(const EndpointTable& book, const std::string& id) {
+EndpointStatus status(const EndpointTable& book, const std::string& id) {
   return book.lines().at(id).entry.status;
 }
-Phase phase(const EndpointTable& book, const std::string& id) {
+EndpointPhase phase(const EndpointTable& book, const std::string& id) {
   return book.lines().at(id).entry.phase;
 }
 
@@ -57,21 +57,21 @@
   ServiceRegistry registry({});
   registry.name_services({"s"});
   registry.observe(many(1), start);
-  cr_expect(status(registry, "b0") == Status::starting);
+  cr_expect(status(registry, "b0") == EndpointStatus::starting);
   cr_expect(registry.targets().size() == 1);
   registry.renew("b0", start + 50ms);
-  cr_expect(status(registry, "b0") == Status::up);
+  cr_expect(status(registry, "b0") == EndpointStatus::up);
 }
 
 Test(registry, an_expired_hold_is_evicted_by_the_sweep_and_a_renewal_brings_it_back) {
   ServiceRegistry registry = watching(10);
   live(registry, 10, 1, start + 1s, 4s);
-  cr_expect(status(registry, "b0") == Status::up, "its hold has not run out");
+  cr_expect(status(registry, "b0") == EndpointStatus::up, "its hold has not run out");
   live(registry, 10, 1, start + 6s, 3s);
-  cr_expect(status(registry, "b0") == Status::down);
+  cr_expect(status(registry, "b0") == EndpointStatus::down);
   cr_expect(registry.evicted() == 1);
   registry.renew("b0", start + 10s);
-  cr_expect(status(registry, "b0") == Status::up);
+  cr_expect(status(registry, "b0") == EndpointStatus::up);
 }
 
 Test(registry, eviction_pauses_under_the_threshold_and_goes_on_above_it) {
@@ -79,10 +79,11 @@
   live(registry, 10, 4, start + 1s, 20s);
   cr_expect(!registry.is_evicting());
   for (int at = 0; at < 10; ++at)
-    cr_expect(status(registry, "b" + std::to_string(at)) == Status::up);
+    cr_expect(status(registry, "b" + std::to_string(at)) == EndpointStatus::up);
   live(registry, 10, 1, start + 22s, 10s);
   cr_expect(registry.is_evicting());
-  cr_expect(status(registry, "b0") == Status::down && status(registry, "b1") == Status::up);
+  cr_expect(status(registry, "b0") == EndpointStatus::down &&
+            status(registry, "b1") == EndpointStatus::up);
 }
 
 Test(registry, without_self_preservation_all_expired_holds_go) {
@@ -95,24 +96,25 @@
 
 Test(registry, emptying_cancels_at_once_and_nothing_late_revives_it) {
   ServiceRegistry registry = watching(2), peer = watching(2);
-  registry.observe({listed("b0", Phase::emptying), listed("b1")}, start + 1s);
-  cr_expect(status(registry, "b0") == Status::out_of_service);
+  registry.observe({listed("b0", EndpointPhase::draining), listed("b1")}, start + 1s);
+  cr_expect(status(registry, "b0") == EndpointStatus::out_of_service);
   registry.renew("b0", start + 2s);
-  cr_expect(status(registry, "b0") == Status::out_of_service);
+  cr_expect(status(registry, "b0") == EndpointStatus::out_of_service);
   registry.take(peer.since(0, start + 2s), start + 2s);
-  cr_expect(phase(registry, "b0") == Phase::emptying);
+  cr_expect(phase(registry, "b0") == EndpointPhase::draining);
   peer.take(registry.since(0, start + 2s), start + 2s);
-  cr_expect(phase(peer, "b0") == Phase::emptying && status(peer, "b0") == Status::out_of_service);
+  cr_expect(phase(peer, "b0") == EndpointPhase::draining &&
+            status(peer, "b0") == EndpointStatus::out_of_service);
   registry.observe(many(2), start + 3s);
-  cr_expect(phase(registry, "b0") == Phase::emptying);
+  cr_expect(phase(registry, "b0") == EndpointPhase::draining);
 }
 
 Test(registry, a_backend_is_gone_when_two_listings_lack_it) {
   ServiceRegistry registry = watching(2);
   registry.observe({listed("b1")}, start + 1s);
-  cr_expect(phase(registry, "b0") == Phase::ready, "pages may shift between two calls");
+  cr_expect(phase(registry, "b0") == EndpointPhase::ready, "pages may shift between two calls");
   registry.observe({listed("b1")}, start + 2s);
-  cr_expect(phase(registry, "b0") == Phase::gone);
+  cr_expect(phase(registry, "b0") == EndpointPhase::gone);
   registry.sweep(start + 30s);
   cr_expect(registry.lines().contains("b0"), "remembered, so that nothing late revives it");
   registry.sweep(start + 70s);
@@ -132,7 +134,7 @@
   };
   cr_expect(follow(start) == 5);
   cr_expect(follow(start) == 0);
-  registry.observe({listed("b0", Phase::emptying), listed("b1"), listed("b2"), listed("b3"),
+  registry.observe({listed("b0", EndpointPhase::draining), listed("b1"), listed("b2"), listed("b3"),
                     listed("b4"), listed("b5")},
                    start + 1s);
   cr_expect(follow(start + 1s) == 2);
@@ -165,7 +167,7 @@
   cr_assert(!read_backend_heartbeat("i-1", heartbeat, false, entry));
   here.sign(entry, start);
   there.take(here.since(0, start), start);
-  cr_expect(there.lines().at("i-1").entry.status == Status::up);
+  cr_expect(there.lines().at("i-1").entry.status == EndpointStatus::up);
   // Its new role comes with a renewal that passes the roster on the way.
   entry.call_count = 5;
   entry.is_leader = true;
@@ -180,12 +182,12 @@
   here.sign(entry, start + 2s);
   cr_expect(here.lines().at("i-1").entry.is_leader);
   entry.call_count = 6;
-  entry.phase = Phase::emptying;
+  entry.phase = EndpointPhase::draining;
   here.sign(entry, start + 2s);
   entry.call_count = 9;
-  entry.phase = Phase::ready;
+  entry.phase = EndpointPhase::ready;
   here.sign(entry, start + 3s);
-  cr_expect(here.lines().at("i-1").entry.phase == Phase::emptying);
+  cr_expect(here.lines().at("i-1").entry.phase == EndpointPhase::draining);
 }
 
 Test(registry, a_wrong_beat_is_refused_by_field) {
--- a/tests/coordination/raft/pending_calls_test.cpp
+++ b/tests/coordination/raft/pending_calls_test.cpp
@@ -2,8 +2,8 @@
 #include <criterion/criterion.h>
 #include <json/json.h>
 
-#include "coordination/raft/raft_cluster_fixture.h"
 #include "coordination/raft/pending_calls.h"
+#include "coordination/raft/raft_cluster_fixture.h"
 #include "state/node_settings.h"
 #include "transport/http_client_connection.h"
 #include "transport/http_server.h"
@@ -99,7 +99,8 @@
   const std::string bytes = encode(head, answer);
   ByteReader reader(bytes);
   FrameHead seen;
-  cr_assert(decode_head(reader, seen) && seen.kind == FrameKind::forwarded && decode(reader, read));
+  cr_assert(decode_head(reader, seen) && seen.kind == FrameKind::forwarded_reply &&
+            decode(reader, read));
   cr_expect(read.token == 5 && read.requester == IncarnationId{11} && read.is_read &&
             read.version == Version{7} && read.digest == 99 && read.term == Term{4} &&
             read.is_done && read.body == "body");
@@ -116,13 +117,13 @@
   SubscribeRequest follow, followed;
   follow.token = 8;
   follow.echo_incarnation = IncarnationId{12};
-  follow.echo = 9;
-  follow.gap = 10;
+  follow.echo_serial = 9;
+  follow.echo_delay = 10;
   const std::string follow_bytes = encode(head, follow);
   ByteReader follow_reader(follow_bytes);
   cr_assert(decode_head(follow_reader, seen) && decode(follow_reader, followed));
   cr_expect(followed.token == 8 && followed.echo_incarnation == IncarnationId{12} &&
-            followed.echo == 9 && followed.gap == 10);
+            followed.echo_serial == 9 && followed.echo_delay == 10);
   EdgeSums sums{Term{4}, {{"north", "counts"}}}, summed;
   const std::string sums_bytes = encode(head, sums);
   ByteReader sums_reader(sums_bytes);
@@ -130,11 +131,11 @@
             summed.term == Term{4} && summed.regions == sums.regions);
   EdgeViewFrame view, viewed;
   view.term = Term{4};
-  view.in_force = 3;
+  view.revision_in_force = 3;
   const std::string view_bytes = encode(head, view);
   ByteReader view_reader(view_bytes);
   cr_expect(decode_head(view_reader, seen) && decode(view_reader, viewed) &&
-            viewed.term == Term{4} && viewed.in_force == 3);
+            viewed.term == Term{4} && viewed.revision_in_force == 3);
   for (std::size_t size = 0; size < bytes.size(); ++size) {
     ByteReader cut(std::string_view(bytes).substr(0, size));
     cr_expect(!decode_head(cut, seen) || !decode(cut, read), "cut after %zu bytes", size);
--- a/tests/coordination/routing/bulkhead_test.cpp
+++ b/tests/coordination/routing/bulkhead_test.cpp
@@ -15,7 +15,7 @@
     backend->id = zone;
     backend->zone = zone;
     backend->region = "here";
-    backend->status = Status::up;
+    backend->status = EndpointStatus::up;
     backend->capacity = 2;
     backends.push_back(backend);
   }
--- a/tests/coordination/routing/delegated_gather_test.cpp
+++ b/tests/coordination/routing/delegated_gather_test.cpp
@@ -102,7 +102,7 @@
     for (auto& part : parts)
       for (int copy = 0; copy < 2; ++copy) {
         part.backends.push_back(std::make_shared<Backend>());
-        part.backends.back()->status = Status::up;
+        part.backends.back()->status = EndpointStatus::up;
         part.max_connections = 10;
       }
     work = std::make_unique<DelegatedGatherWork>(*this, 5, parts, 2, Duration(40), Duration(900),
@@ -154,7 +154,7 @@
                               start + 60ms);
   cr_assert(stage.frames.size() == 3);
   cr_expect(stage.frames[1].done.size() == 1 && stage.frames[1].records == record('a'));
-  cr_expect(stage.frames[2].done[0].seal == "s2" && stage.frames[2].records == record('c'));
+  cr_expect(stage.frames[2].done[0].checksum == "s2" && stage.frames[2].records == record('c'));
 }
 
 Test(aid, nothing_that_may_have_run_is_asked_again) {
--- a/tests/coordination/routing/load_balancer_test.cpp
+++ b/tests/coordination/routing/load_balancer_test.cpp
@@ -65,7 +65,7 @@
   std::vector<BackendPointer> backends;
   for (int at = 0; at < 2; ++at) {
     backends.push_back(std::make_shared<Backend>());
-    backends.back()->status = Status::up;
+    backends.back()->status = EndpointStatus::up;
     backends.back()->breaker.fail(start, true);
   }
   cr_expect(picker.pick(backends, {}, 10, start).backend != nullptr);
@@ -79,7 +79,7 @@
   for (int index = 0; index < 4; ++index) {
     auto backend = std::make_shared<Backend>();
     backend->id = "b" + std::to_string(index);
-    backend->status = Status::up;
+    backend->status = EndpointStatus::up;
     backend->region = "r";
     backend->zone = "l";
     backends.push_back(backend);
--- a/tests/coordination/routing/request_fixture.h
+++ b/tests/coordination/routing/request_fixture.h
@@ -32,7 +32,7 @@
       for (int copy = 0; copy < copies; ++copy) {
         auto backend = std::make_shared<Backend>();
         backend->id = "s" + std::to_string(service) + "-" + std::to_string(copy);
-        backend->status = Status::up;
+        backend->status = EndpointStatus::up;
         if (copy == 0)
           backend->region = "far";
         table->by_service[service].push_back(backend);
@@ -119,8 +119,8 @@
 inline const char gathered[] =
     R"("sort":"harmless","ask_all":["s0","s1","s2","s3"],"best_count":2,"fewest_parts":0.75)";
 
-inline GatherResult frame(std::vector<GatherResult::Done> done,
-                          std::vector<GatherResult::Failed> failed, std::string records) {
+inline GatherResult frame(std::vector<GatherResult::CompletedPart> done,
+                          std::vector<GatherResult::FailedPart> failed, std::string records) {
   GatherResult aided;
   aided.done = std::move(done);
   aided.failed = std::move(failed);
--- a/tests/protocol/database_protocol_format_test.cpp
+++ b/tests/protocol/database_protocol_format_test.cpp
@@ -15,96 +15,96 @@
 
 struct NamedMessage {
   const char* name;
-  WireKind kind;
+  DatabaseMessageKind kind;
   std::vector<std::string> fields;
 };
 
 const NamedMessage messages[] = {
-    {"startup", WireKind::connect, {"orders", "saddlewing", "b-1"}},
-    {"query", WireKind::ask, {"id 1", "READ tank"}},
-    {"terminate", WireKind::bye, {}},
-    {"ready_idle", WireKind::ready, {"I", "3.12"}},
-    {"ready_in_transaction", WireKind::ready, {"T", "-"}},
-    {"ready_failed", WireKind::ready, {"E", "-"}},
-    {"row", WireKind::row, {"leader 3 3.12 3 0 1 2"}},
-    {"row_of_several_fields", WireKind::row, {"a", "", "b", std::string(300, 'c')}},
-    {"complete", WireKind::done, {"SAVE"}},
-    {"error", WireKind::error, {"BUSY", "later"}},
-    {"startup_empty", WireKind::connect, {}},
-    {"query_empty", WireKind::ask, {}},
-    {"ready_empty", WireKind::ready, {}},
-    {"row_empty", WireKind::row, {}},
-    {"complete_empty", WireKind::done, {}},
-    {"error_empty", WireKind::error, {}},
-    {"query_empty_fields", WireKind::ask, {"", ""}},
+    {"startup", DatabaseMessageKind::connect, {"orders", "saddlewing", "b-1"}},
+    {"query", DatabaseMessageKind::query, {"id 1", "READ tank"}},
+    {"terminate", DatabaseMessageKind::terminate, {}},
+    {"ready_idle", DatabaseMessageKind::ready, {"I", "3.12"}},
+    {"ready_in_transaction", DatabaseMessageKind::ready, {"T", "-"}},
+    {"ready_failed", DatabaseMessageKind::ready, {"E", "-"}},
+    {"row", DatabaseMessageKind::row, {"leader 3 3.12 3 0 1 2"}},
+    {"row_of_several_fields", DatabaseMessageKind::row, {"a", "", "b", std::string(300, 'c')}},
+    {"complete", DatabaseMessageKind::complete, {"SAVE"}},
+    {"error", DatabaseMessageKind::error, {"BUSY", "later"}},
+    {"startup_empty", DatabaseMessageKind::connect, {}},
+    {"query_empty", DatabaseMessageKind::query, {}},
+    {"ready_empty", DatabaseMessageKind::ready, {}},
+    {"row_empty", DatabaseMessageKind::row, {}},
+    {"complete_empty", DatabaseMessageKind::complete, {}},
+    {"error_empty", DatabaseMessageKind::error, {}},
+    {"query_empty_fields", DatabaseMessageKind::query, {"", ""}},
 };
 
 std::string written(const NamedMessage& message) {
   const auto& fields = message.fields;
   switch (fields.size()) {
     case 0:
-      return encode_message(message.kind, {});
+      return encode_database_message(message.kind, {});
     case 1:
-      return encode_message(message.kind, {fields[0]});
+      return encode_database_message(message.kind, {fields[0]});
     case 2:
-      return encode_message(message.kind, {fields[0], fields[1]});
+      return encode_database_message(message.kind, {fields[0], fields[1]});
     case 3:
-      return encode_message(message.kind, {fields[0], fields[1], fields[2]});
+      return encode_database_message(message.kind, {fields[0], fields[1], fields[2]});
     default:
-      return encode_message(message.kind, {fields[0], fields[1], fields[2], fields[3]});
+      return encode_database_message(message.kind, {fields[0], fields[1], fields[2], fields[3]});
   }
 }
 
 bool reads(const std::string& bytes) {
   std::string left = bytes;
-  WireMessage message;
-  return read_wire(left, message) == WireStep::done;
+  DatabaseMessage message;
+  return read_database_message(left, message) == DatabaseReadResult::complete;
 }
 
 struct NamedVerdict {
-  Verdict verdict;
+  StatementError verdict;
   const char* text;
 };
 
 constexpr NamedVerdict verdicts[] = {
-    {Verdict::busy, "BUSY"},
-    {Verdict::undone, "UNDONE"},
-    {Verdict::lagging, "LAGGING"},
-    {Verdict::readonly, "READONLY"},
-    {Verdict::wrong_host, "WRONGHOST"},
-    {Verdict::full, "FULL"},
-    {Verdict::no_such, "NOSUCH"},
-    {Verdict::no_database, "NODB"},
-    {Verdict::too_long, "TOOLONG"},
-    {Verdict::garbled, "GARBLED"},
-    {Verdict::failed, "FAILED"},
-    {Verdict::timeout, "TIMEOUT"},
-    {Verdict::unknown, "UNKNOWN"},
+    {StatementError::busy, "BUSY"},
+    {StatementError::rolled_back, "UNDONE"},
+    {StatementError::lagging, "LAGGING"},
+    {StatementError::readonly, "READONLY"},
+    {StatementError::wrong_host, "WRONGHOST"},
+    {StatementError::full, "FULL"},
+    {StatementError::no_such_statement, "NOSUCH"},
+    {StatementError::no_database, "NODB"},
+    {StatementError::too_long, "TOOLONG"},
+    {StatementError::malformed, "GARBLED"},
+    {StatementError::failed, "FAILED"},
+    {StatementError::timeout, "TIMEOUT"},
+    {StatementError::unknown, "UNKNOWN"},
 };
 
 struct WrittenStatement {
   const char* text;
-  Verb verb;
+  StatementVerb verb;
   const char *first, *second, *rest;
 };
 
 constexpr WrittenStatement statements[] = {
-    {"BEGIN", Verb::begin, "", "", ""},
-    {"BEGIN READ", Verb::begin_read, "", "", ""},
-    {"SAVE", Verb::save, "", "", ""},
-    {"UNDO", Verb::undo, "", "", ""},
-    {"READ tank 7", Verb::read, "", "", ""},
-    {"WRITE tank 7", Verb::write, "", "", ""},
-    {"SET colour dark red", Verb::set, "colour", "dark red", ""},
-    {"SET colour", Verb::set, "colour", "", ""},
-    {"NAME n READ q r", Verb::name, "n", "READ", "q r"},
-    {"NAME n WRITE q", Verb::name, "n", "WRITE", "q"},
-    {"RUN n tank full", Verb::run, "n", "", "tank full"},
-    {"FORGET n", Verb::forget, "n", "", ""},
-    {"", Verb::none, "", "", ""},
-    {"begin", Verb::none, "", "", ""},
-    {"READ", Verb::none, "", "", ""},
-    {"COMMIT", Verb::none, "", "", ""},
+    {"BEGIN", StatementVerb::begin, "", "", ""},
+    {"BEGIN READ", StatementVerb::begin_read_only, "", "", ""},
+    {"SAVE", StatementVerb::commit, "", "", ""},
+    {"UNDO", StatementVerb::rollback, "", "", ""},
+    {"READ tank 7", StatementVerb::read, "", "", ""},
+    {"WRITE tank 7", StatementVerb::write, "", "", ""},
+    {"SET colour dark red", StatementVerb::set, "colour", "dark red", ""},
+    {"SET colour", StatementVerb::set, "colour", "", ""},
+    {"NAME n READ q r", StatementVerb::prepare, "n", "READ", "q r"},
+    {"NAME n WRITE q", StatementVerb::prepare, "n", "WRITE", "q"},
+    {"RUN n tank full", StatementVerb::execute, "n", "", "tank full"},
+    {"FORGET n", StatementVerb::deallocate, "n", "", ""},
+    {"", StatementVerb::none, "", "", ""},
+    {"begin", StatementVerb::none, "", "", ""},
+    {"READ", StatementVerb::none, "", "", ""},
+    {"COMMIT", StatementVerb::none, "", "", ""},
 };
 
 }  // namespace
@@ -115,35 +115,37 @@
     expect_fixture(file, written(row));
     const std::string bytes = read_fixture(file);
     std::string left = bytes + "rest";
-    WireMessage message;
-    cr_assert(read_wire(left, message) == WireStep::done, "%s", row.name);
+    DatabaseMessage message;
+    cr_assert(read_database_message(left, message) == DatabaseReadResult::complete, "%s", row.name);
     cr_expect(message.kind == row.kind && message.fields == row.fields && left == "rest", "%s",
               row.name);
     expect_prefixes_refused(row.name, bytes, reads);
     decode_random_bytes(bytes.substr(0, 1), bytes, reads);
   }
-  expect_fixture(session_fixture("query"), wire_ask("id 1", "READ tank"));
+  expect_fixture(session_fixture("query"), encode_query("id 1", "READ tank"));
   decode_random_bytes({}, {}, reads);
 }
 
 Test(session_format, errors_by_verdict) {
   for (const NamedVerdict& row : verdicts) {
-    expect_fixture(session_fixture("error_" + std::string(row.text)),
-                   encode_message(WireKind::error, {name_of(row.verdict), "why"}));
+    expect_fixture(
+        session_fixture("error_" + std::string(row.text)),
+        encode_database_message(DatabaseMessageKind::error, {name_of(row.verdict), "why"}));
     std::string bytes = read_fixture(session_fixture("error_" + std::string(row.text)));
-    WireMessage message;
-    cr_assert(read_wire(bytes, message) == WireStep::done);
-    cr_expect(message.field(0) == row.text && verdict_of(message.field(0)) == row.verdict &&
+    DatabaseMessage message;
+    cr_assert(read_database_message(bytes, message) == DatabaseReadResult::complete);
+    cr_expect(message.field(0) == row.text && statement_error_of(message.field(0)) == row.verdict &&
               message.field(1) == "why");
   }
-  cr_expect(name_of(Verdict::none).empty() && verdict_of("what") == Verdict::unknown);
+  cr_expect(name_of(StatementError::none).empty() &&
+            statement_error_of("what") == StatementError::unknown);
 }
 
 Test(session_format, statements) {
   for (const WrittenStatement& row : statements) {
     const Statement statement = read_statement(row.text);
     cr_expect(statement.verb == row.verb, "%s", row.text);
-    if (row.verb == Verb::none)
+    if (row.verb == StatementVerb::none)
       continue;
     cr_expect(statement.first == row.first && statement.second == row.second &&
                   statement.rest == row.rest,
@@ -159,14 +161,15 @@
   for (const char* text : {"", ".", "3", "3.", ".12", "3.12.1", "a.b", "-1.2", " 3.12"})
     cr_expect(!read_log_position(text, position), "%s", text);
   std::string bytes = read_fixture(session_fixture("row"));
-  WireMessage message;
+  DatabaseMessage message;
   DatabaseStatus status;
-  cr_assert(read_wire(bytes, message) == WireStep::done && read_status(message.field(0), status));
+  cr_assert(read_database_message(bytes, message) == DatabaseReadResult::complete &&
+            read_database_status(message.field(0), status));
   cr_expect(status.is_leader && status.term == 3 && status.position == leaders);
-  cr_expect(read_status("copy 4 3.11", status) && !status.is_leader && status.term == 4 &&
+  cr_expect(read_database_status("copy 4 3.11", status) && !status.is_leader && status.term == 4 &&
             status.position == copys);
   for (const char* text : {"", "leader", "leader 3", "leader 3 3", "chief 3 3.12"})
-    cr_expect(!read_status(text, status), "%s", text);
+    cr_expect(!read_database_status(text, status), "%s", text);
 }
 
 // What a session tells its client and asks of databases, over a whole dialogue.
@@ -182,7 +185,7 @@
   stage.after = {1, 1};
   stage.say(reader, "READ tank");
   stage.start(stranger, "nobody");
-  stage.give(wrong, wire_ask("a", "READ x"));
+  stage.give(wrong, encode_query("a", "READ x"));
   expect_fixture(session_fixture("dialogue_to_client"), client.told);
   expect_fixture(session_fixture("dialogue_to_reader"), reader.told);
   expect_fixture(session_fixture("dialogue_to_stranger"), stranger.told);
--- a/tests/protocol/frame_values.h
+++ b/tests/protocol/frame_values.h
@@ -46,24 +46,25 @@
 inline bool operator==(const SubscribeRequest& left, const SubscribeRequest& right) {
   const auto fields = [](const SubscribeRequest& value) {
     return std::tie(value.version, value.endpoints_incarnation, value.endpoints_revision,
-                    value.wants_body, value.wants_endpoints, value.region, value.is_ready,
+                    value.wants_configuration, value.wants_endpoints, value.region, value.is_ready,
                     value.brokers_revision, value.token, value.leadership_revision, value.zone,
-                    value.failing, value.fine, value.samples, value.samples_age,
-                    value.ring_revision, value.ring_held, value.ring_loads, value.account_loads,
-                    value.lookups, value.late_lookups, value.edge_counts, value.edges_held,
-                    value.echo_incarnation, value.echo, value.gap);
+                    value.failing_leaderships, value.healthy_leaderships, value.samples,
+                    value.samples_age, value.ring_revision, value.latest_ring_revision,
+                    value.ring_loads, value.account_loads, value.lookups, value.late_lookups,
+                    value.edge_counts, value.edge_view_revision, value.echo_incarnation,
+                    value.echo_serial, value.echo_delay);
   };
   return fields(left) == fields(right);
 }
 
 inline bool operator==(const ControlHeartbeat& left, const ControlHeartbeat& right) {
   const auto fields = [](const ControlHeartbeat& value) {
-    return std::tie(value.term, value.requester, value.token, value.version, value.in_force,
+    return std::tie(value.term, value.requester, value.token, value.version, value.version_in_force,
                     value.is_confirmed, value.is_filled, value.is_leader, value.zone, value.region,
-                    value.brokers, value.grant, value.grant_valid, value.registries,
-                    value.brokers_revision, value.seats, value.lease, value.leadership_revision,
-                    value.leaderships, value.samples, value.serial, value.ring_revision, value.ring,
-                    value.edges_in_force, value.edges);
+                    value.broker_count, value.retry_grant, value.retry_grant_validity,
+                    value.registries, value.brokers_revision, value.broker_endpoints, value.lease,
+                    value.leadership_revision, value.leaderships, value.samples, value.serial,
+                    value.ring_revision, value.ring, value.edge_view_in_force, value.edge_view);
   };
   return fields(left) == fields(right);
 }
@@ -75,28 +76,28 @@
 inline bool operator==(const Endpoint& left, const Endpoint& right) {
   const auto fields = [](const Endpoint& value) {
     return std::tie(value.id, value.service, value.address, value.zone, value.software,
-                    value.capacity, value.phase, value.status, value.stamp, value.warm_left,
-                    value.lease_left, value.is_leader, value.call_count);
+                    value.capacity, value.phase, value.status, value.status_revision,
+                    value.warmup_left, value.lease_left, value.is_leader, value.call_count);
   };
   return fields(left) == fields(right);
 }
 
 inline bool operator==(const EndpointList& left, const EndpointList& right) {
   const auto fields = [](const EndpointList& value) {
-    return std::tie(value.is_complete, value.is_observed, value.is_filled, value.wants_whole,
-                    value.zone, value.base, value.revision, value.entries);
+    return std::tie(value.is_complete, value.is_observed, value.is_filled, value.wants_full_list,
+                    value.zone, value.base_revision, value.revision, value.entries);
   };
   return fields(left) == fields(right);
 }
 
-inline bool operator==(const Step& left, const Step& right) {
+inline bool operator==(const VersionEvent& left, const VersionEvent& right) {
   return std::tie(left.version, left.what, left.age) ==
          std::tie(right.version, right.what, right.age);
 }
 
-inline bool operator==(const Traced& left, const Traced& right) {
-  const auto fields = [](const Traced& value) {
-    return std::tie(value.node, value.role, value.held, value.is_leader, value.steps,
+inline bool operator==(const TraceReply& left, const TraceReply& right) {
+  const auto fields = [](const TraceReply& value) {
+    return std::tie(value.node, value.role, value.version, value.is_leader, value.events,
                     value.registries, value.brokers);
   };
   return fields(left) == fields(right);
@@ -104,24 +105,26 @@
 
 inline bool operator==(const GatherRequest& left, const GatherRequest& right) {
   const auto fields = [](const GatherRequest& value) {
-    return std::tie(value.token, value.method, value.try_id, value.head_start, value.body,
+    return std::tie(value.token, value.method, value.try_id, value.request_head, value.body,
                     value.services, value.best_count, value.time_left, value.flush_after);
   };
   return fields(left) == fields(right);
 }
 
-inline bool operator==(const GatherResult::Done& left, const GatherResult::Done& right) {
-  return std::tie(left.part, left.seal) == std::tie(right.part, right.seal);
+inline bool operator==(const GatherResult::CompletedPart& left,
+                       const GatherResult::CompletedPart& right) {
+  return std::tie(left.part, left.checksum) == std::tie(right.part, right.checksum);
 }
 
-inline bool operator==(const GatherResult::Failed& left, const GatherResult::Failed& right) {
+inline bool operator==(const GatherResult::FailedPart& left,
+                       const GatherResult::FailedPart& right) {
   return std::tie(left.part, left.kind, left.may_have_run) ==
          std::tie(right.part, right.kind, right.may_have_run);
 }
 
 inline bool operator==(const GatherResult& left, const GatherResult& right) {
   const auto fields = [](const GatherResult& value) {
-    return std::tie(value.token, value.done, value.failed, value.held, value.records);
+    return std::tie(value.token, value.done, value.failed, value.processing_time, value.records);
   };
   return fields(left) == fields(right);
 }
@@ -141,8 +144,8 @@
   return std::tie(left.verb, left.text) == std::tie(right.verb, right.text);
 }
 
-inline bool operator==(const RingAnswer& left, const RingAnswer& right) {
-  const auto fields = [](const RingAnswer& value) {
+inline bool operator==(const RingReply& left, const RingReply& right) {
+  const auto fields = [](const RingReply& value) {
     return std::tie(value.is_done, value.leader, value.reason, value.text);
   };
   return fields(left) == fields(right);
@@ -154,7 +157,7 @@
 
 inline bool operator==(const EdgeViewFrame& left, const EdgeViewFrame& right) {
   const auto fields = [](const EdgeViewFrame& value) {
-    return std::tie(value.term, value.in_force, value.view, value.ways);
+    return std::tie(value.term, value.revision_in_force, value.view, value.latencies);
   };
   return fields(left) == fields(right);
 }
--- a/tests/protocol/http_client_format_test.cpp
+++ b/tests/protocol/http_client_format_test.cpp
@@ -73,7 +73,7 @@
                            const Address& address) {
     Endpoint entry{id, service, address.text(), "z", ""};
     entry.capacity = 100;
-    entry.status = Status::up;
+    entry.status = EndpointStatus::up;
     return entry;
   }
   bool opens(const Address& address) {
@@ -260,12 +260,14 @@
 // What both sides of a call agree on.
 Test(http_format, calls_and_fields) {
   std::string table;
-  for (const CallRow& row : calls)
+  for (const HttpCallRow& row : http_calls)
     table += std::string(row.method) + " " + std::string(row.path) + "\n";
   for (const char* name :
-       {field::try_id, field::time_left, field::meant_server, field::server_id, field::server_load,
-        field::not_run, field::seal, field::part_seals, field::duty_owner, field::owner_number,
-        field::ring_revision, field::ring_show, field::ring_hide, field::parts_missing})
+       {header_name::try_id, header_name::time_left, header_name::target_server,
+        header_name::server_id, header_name::server_load, header_name::not_run,
+        header_name::answer_checksum, header_name::part_checksums, header_name::duty_owner,
+        header_name::owner_number, header_name::ring_revision, header_name::ring_show,
+        header_name::ring_hide, header_name::parts_missing})
     table += std::string(name) + "\n";
   expect_fixture(http("calls_and_fields"), table);
 }
--- a/tests/protocol/wire_format_raft_test.cpp
+++ b/tests/protocol/wire_format_raft_test.cpp
@@ -125,7 +125,8 @@
 }
 
 Test(wire_format, cluster_status) {
-  expect_fixture(frame_fixture("core_status_request"), encode_core_status_request(frame_sender()));
+  expect_fixture(frame_fixture("core_status_request"),
+                 encode_cluster_status_request(frame_sender()));
   const std::string request = read_fixture(frame_fixture("core_status_request"));
   ByteReader reader(request);
   FrameHead head;
--- a/tests/protocol/wire_format_test.cpp
+++ b/tests/protocol/wire_format_test.cpp
@@ -6,19 +6,20 @@
 using namespace saddlewing::tests;
 
 Test(wire_format, forwarded_calls) {
-  check_frame("forward_full", FrameKind::forward,
+  check_frame("forward_full", FrameKind::forwarded_call,
               ForwardedCall{11, true, Version{12}, "a body", Term{13}});
-  check_frame("forward_empty", FrameKind::forward, ForwardedCall{});
+  check_frame("forward_empty", FrameKind::forwarded_call, ForwardedCall{});
   check_frame(
-      "forwarded_full", FrameKind::forwarded,
+      "forwarded_full", FrameKind::forwarded_reply,
       ForwardedReply{21, IncarnationId{22}, true, Version{23}, 24, Term{25}, true, "an answer"});
-  check_frame("forwarded_empty", FrameKind::forwarded, ForwardedReply{});
-  check_flag("forwarded_only_read", FrameKind::forwarded, &ForwardedReply::is_read);
-  check_flag("forwarded_only_done", FrameKind::forwarded, &ForwardedReply::is_done);
+  check_frame("forwarded_empty", FrameKind::forwarded_reply, ForwardedReply{});
+  check_flag("forwarded_only_read", FrameKind::forwarded_reply, &ForwardedReply::is_read);
+  check_flag("forwarded_only_done", FrameKind::forwarded_reply, &ForwardedReply::is_done);
 }
 
 Test(wire_format, negative_versions_keep_their_sign) {
-  check_frame("body_negative_version", FrameKind::body, ConfigurationPayload{Version{-2}, {}});
+  check_frame("body_negative_version", FrameKind::configuration,
+              ConfigurationPayload{Version{-2}, {}});
 }
 
 Test(wire_format, follow) {
@@ -26,7 +27,7 @@
   value.version = {31};
   value.endpoints_incarnation = 32;
   value.endpoints_revision = 33;
-  value.wants_body = true;
+  value.wants_configuration = true;
   value.wants_endpoints = true;
   value.region = "region north";
   value.is_ready = true;
@@ -34,26 +35,28 @@
   value.token = 35;
   value.leadership_revision = 36;
   value.zone = "zone 1";
-  value.failing = std::string("\1\0\2", 3);
-  value.fine = "\x7f\xff";
+  value.failing_leaderships = std::string("\1\0\2", 3);
+  value.healthy_leaderships = "\x7f\xff";
   value.samples = "samples";
   value.samples_age = 37;
   value.ring_revision = 38;
-  value.ring_held = 39;
+  value.latest_ring_revision = 39;
   value.ring_loads = "loads";
   value.account_loads = "loads of accounts";
   value.lookups = 40;
   value.late_lookups = 41;
   value.edge_counts = "counts";
-  value.edges_held = 42;
+  value.edge_view_revision = 42;
   value.echo_incarnation = {43};
-  value.echo = 44;
-  value.gap = 45;
-  check_frame("follow_full", FrameKind::follow, value);
-  check_frame("follow_empty", FrameKind::follow, SubscribeRequest{});
-  check_flag("follow_only_wants_configuration", FrameKind::follow, &SubscribeRequest::wants_body);
-  check_flag("follow_only_wants_backends", FrameKind::follow, &SubscribeRequest::wants_endpoints);
-  check_flag("follow_only_ready", FrameKind::follow, &SubscribeRequest::is_ready);
+  value.echo_serial = 44;
+  value.echo_delay = 45;
+  check_frame("follow_full", FrameKind::subscribe, value);
+  check_frame("follow_empty", FrameKind::subscribe, SubscribeRequest{});
+  check_flag("follow_only_wants_configuration", FrameKind::subscribe,
+             &SubscribeRequest::wants_configuration);
+  check_flag("follow_only_wants_backends", FrameKind::subscribe,
+             &SubscribeRequest::wants_endpoints);
+  check_flag("follow_only_ready", FrameKind::subscribe, &SubscribeRequest::is_ready);
 }
 
 Test(wire_format, heartbeat) {
@@ -62,18 +65,18 @@
   value.requester = {52};
   value.token = 53;
   value.version = {54};
-  value.in_force = {55};
+  value.version_in_force = {55};
   value.is_confirmed = true;
   value.is_filled = true;
   value.is_leader = true;
   value.zone = "zone 2";
   value.region = "region south";
-  value.brokers = 56;
-  value.grant = 57;
-  value.grant_valid = 58;
+  value.broker_count = 56;
+  value.retry_grant = 57;
+  value.retry_grant_validity = 58;
   value.registries = {"10.0.0.1:7400", "10.0.0.2:7400"};
   value.brokers_revision = 59;
-  value.seats = {{"10.0.1.1:7400", "region north"}, {"10.0.1.2:7400", "region west"}};
+  value.broker_endpoints = {{"10.0.1.1:7400", "region north"}, {"10.0.1.2:7400", "region west"}};
   value.lease = 60;
   value.leadership_revision = 61;
   value.leaderships = "leads";
@@ -81,8 +84,8 @@
   value.serial = 62;
   value.ring_revision = 63;
   value.ring = "ring";
-  value.edges_in_force = 64;
-  value.edges = "edges";
+  value.edge_view_in_force = 64;
+  value.edge_view = "edges";
   check_frame("heartbeat_full", FrameKind::heartbeat, value);
   check_frame("heartbeat_empty", FrameKind::heartbeat, ControlHeartbeat{});
   check_flag("heartbeat_only_confirmed", FrameKind::heartbeat, &ControlHeartbeat::is_confirmed);
@@ -91,51 +94,53 @@
 }
 
 Test(wire_format, configuration) {
-  check_frame("configuration_full", FrameKind::body,
+  check_frame("configuration_full", FrameKind::configuration,
               ConfigurationPayload{Version{71}, std::string("packed \0 bytes", 14)});
-  check_frame("configuration_empty", FrameKind::body, ConfigurationPayload{});
+  check_frame("configuration_empty", FrameKind::configuration, ConfigurationPayload{});
 }
 
 Test(wire_format, backend_registry) {
   Endpoint first{"b-1", "search", "10.0.2.1:80", "zone 1", "v5"};
   first.capacity = 81;
-  first.phase = Phase::emptying;
-  first.status = Status::out_of_service;
-  first.stamp = 82;
-  first.warm_left = 83;
+  first.phase = EndpointPhase::draining;
+  first.status = EndpointStatus::out_of_service;
+  first.status_revision = 82;
+  first.warmup_left = 83;
   first.lease_left = 84;
   first.is_leader = true;
   first.call_count = 85;
   const Endpoint second{"b-2", "orders", "10.0.2.2:80", "zone 2", ""};
-  check_frame("backends_full", FrameKind::endpoints,
+  check_frame("backends_full", FrameKind::endpoint_list,
               EndpointList{true, true, true, true, "zone 3", 86, 87, {first, second}});
-  check_frame("backends_empty", FrameKind::endpoints, EndpointList{});
-  check_frame("backends_blank_entry", FrameKind::endpoints,
+  check_frame("backends_empty", FrameKind::endpoint_list, EndpointList{});
+  check_frame("backends_blank_entry", FrameKind::endpoint_list,
               EndpointList{false, false, false, false, {}, 0, 0, {Endpoint{}}});
-  check_flag("backends_only_whole", FrameKind::endpoints, &EndpointList::is_complete);
-  check_flag("backends_only_observed", FrameKind::endpoints, &EndpointList::is_observed);
-  check_flag("backends_only_filled", FrameKind::endpoints, &EndpointList::is_filled);
-  check_flag("backends_only_wants_whole", FrameKind::endpoints, &EndpointList::wants_whole);
+  check_flag("backends_only_whole", FrameKind::endpoint_list, &EndpointList::is_complete);
+  check_flag("backends_only_observed", FrameKind::endpoint_list, &EndpointList::is_observed);
+  check_flag("backends_only_filled", FrameKind::endpoint_list, &EndpointList::is_filled);
+  check_flag("backends_only_wants_whole", FrameKind::endpoint_list, &EndpointList::wants_full_list);
 }
 
 Test(wire_format, backend_phases_and_statuses) {
   EndpointList value;
-  for (const Phase phase : {Phase::ready, Phase::emptying, Phase::gone})
-    for (const Status status :
-         {Status::up, Status::down, Status::starting, Status::out_of_service, Status::unknown}) {
+  for (const EndpointPhase phase :
+       {EndpointPhase::ready, EndpointPhase::draining, EndpointPhase::gone})
+    for (const EndpointStatus status :
+         {EndpointStatus::up, EndpointStatus::down, EndpointStatus::starting,
+          EndpointStatus::out_of_service, EndpointStatus::unknown}) {
       Endpoint entry;
       entry.phase = phase;
       entry.status = status;
       value.entries.push_back(entry);
     }
-  check_frame("backends_all_states", FrameKind::endpoints, value);
+  check_frame("backends_all_states", FrameKind::endpoint_list, value);
 }
 
 Test(wire_format, renewed_backends) {
   const RenewedIds value{{{"b-1", 91, 92, true}, {"b-2", 93, 94, false}}};
-  check_frame("renewed_full", FrameKind::renewed, value);
-  check_frame("renewed_empty", FrameKind::renewed, RenewedIds{});
-  check_frame("renewed_blank_item", FrameKind::renewed, RenewedIds{{RenewedIds::Item{}}});
+  check_frame("renewed_full", FrameKind::renewed_ids, value);
+  check_frame("renewed_empty", FrameKind::renewed_ids, RenewedIds{});
+  check_frame("renewed_blank_item", FrameKind::renewed_ids, RenewedIds{{RenewedIds::Item{}}});
 }
 
 Test(wire_format, trace) {
@@ -143,39 +148,41 @@
   const std::string bytes = read_fixture(frame_fixture("trace_request"));
   ByteReader reader(bytes);
   FrameHead head;
-  cr_expect(decode_head(reader, head) && reader.is_complete() && head.kind == FrameKind::trace);
-  const std::vector<Step> steps{{Version{101}, "taken", 102}, {Version{103}, "committed", 104}};
-  check_frame("trace_answer_full", FrameKind::traced,
-              Traced{"node a",
-                     "registry",
-                     Version{105},
-                     true,
-                     steps,
-                     {"10.0.0.1:7400", "10.0.0.2:7400"},
-                     {"10.0.1.1:7400"}});
-  check_frame("trace_answer_empty", FrameKind::traced, Traced{});
+  cr_expect(decode_head(reader, head) && reader.is_complete() &&
+            head.kind == FrameKind::trace_request);
+  const std::vector<VersionEvent> steps{{Version{101}, "taken", 102},
+                                        {Version{103}, "committed", 104}};
+  check_frame("trace_answer_full", FrameKind::trace_reply,
+              TraceReply{"node a",
+                         "registry",
+                         Version{105},
+                         true,
+                         steps,
+                         {"10.0.0.1:7400", "10.0.0.2:7400"},
+                         {"10.0.1.1:7400"}});
+  check_frame("trace_answer_empty", FrameKind::trace_reply, TraceReply{});
 }
 
 Test(wire_format, delegated_gather) {
   const GatherRequest request{
       111, "POST", "try 1", "POST / HTTP/1.1\r\n", "a body", {"shard-a", "shard-b"}, 112, 113, 114};
-  check_frame("delegated_gather_request_full", FrameKind::aid, request);
-  check_frame("delegated_gather_request_empty", FrameKind::aid, GatherRequest{});
+  check_frame("delegated_gather_request_full", FrameKind::gather_request, request);
+  check_frame("delegated_gather_request_empty", FrameKind::gather_request, GatherRequest{});
   const GatherResult answer{121,
                             {{122, "seal 1"}, {123, "seal 2"}},
                             {{124, 125, true}, {126, 127, false}},
                             128,
                             "records"};
-  check_frame("delegated_gather_answer_full", FrameKind::aided, answer);
-  check_frame("delegated_gather_answer_empty", FrameKind::aided, GatherResult{});
+  check_frame("delegated_gather_answer_full", FrameKind::gather_result, answer);
+  check_frame("delegated_gather_answer_empty", FrameKind::gather_result, GatherResult{});
 }
 
 Test(wire_format, ring_calls) {
   check_frame("ring_call_full", FrameKind::ring_call, RingCall{"move", "7 shard-b"});
   check_frame("ring_call_empty", FrameKind::ring_call, RingCall{});
-  check_frame("ring_answer_full", FrameKind::ring_answer,
-              RingAnswer{true, "10.0.0.1:7400", "a reason", "{}"});
-  check_frame("ring_answer_empty", FrameKind::ring_answer, RingAnswer{});
+  check_frame("ring_answer_full", FrameKind::ring_reply,
+              RingReply{true, "10.0.0.1:7400", "a reason", "{}"});
+  check_frame("ring_answer_empty", FrameKind::ring_reply, RingReply{});
 }
 
 Test(wire_format, edges) {
--- a/tools/capacity.cpp
+++ b/tools/capacity.cpp
@@ -17,11 +17,11 @@
 #include <sstream>
 
 #include "coordination/routing/edge_latency.h"
-#include "protocol/http_calls.h"
 #include "protocol/frames.h"
+#include "protocol/http_calls.h"
 #include "state/compression.h"
-#include "transport/http_client_connection.h"
 #include "transport/frame_link.h"
+#include "transport/http_client_connection.h"
 #include "transport/http_server.h"
 
 using namespace saddlewing;
@@ -60,8 +60,8 @@
     if (!target.starts_with("/backends")) {
       ++probes;
       return exchange.answer({200, "OK",
-                              std::string(field::server_id) + ": " +
-                                  exchange.request().get(field::meant_server, "") + "\r\n",
+                              std::string(header_name::server_id) + ": " +
+                                  exchange.request().get(header_name::target_server, "") + "\r\n",
                               "well\n"},
                              now);
     }
@@ -301,12 +301,12 @@
     follow.version = hollow.held;
     follow.endpoints_incarnation = hollow.incarnation;
     follow.endpoints_revision = hollow.revision;
-    follow.wants_body = wants_body;
+    follow.wants_configuration = wants_body;
     follow.wants_endpoints = true;
     follow.region = "region-" + std::to_string(&hollow - hollows_.data() & 3);
     follow.is_ready = true;
     follow.brokers_revision = hollow.brokers_revision;
-    follow.edges_held = hollow.edges_held;
+    follow.edge_view_revision = hollow.edges_held;
     if (const TimePoint now = Clock::now(); cells_ && now - hollow.counted >= count_every) {
       hollow.counted = now;
       EdgeCounts counts(static_cast<std::size_t>(cells_));
@@ -316,7 +316,7 @@
       follow.edge_counts = counts.take();
     }
     const std::string bytes =
-        encode(FrameHead{FrameKind::follow, IncarnationId{7}, hollow.address}, follow);
+        encode(FrameHead{FrameKind::subscribe, IncarnationId{7}, hollow.address}, follow);
     if (hollow.client->send(bytes))
       ++sent, sent_bytes += bytes.size();
   }
@@ -338,11 +338,11 @@
       hollow.wanted = heartbeat.version;
       hollow.fetched = now;
       follow(hollow, true);
-    } else if (head.kind == FrameKind::body) {
+    } else if (head.kind == FrameKind::configuration) {
       ConfigurationPayload body;
       if (decode(reader, body))
         hollow.held = std::max(hollow.held, body.version);
-    } else if (head.kind == FrameKind::endpoints) {
+    } else if (head.kind == FrameKind::endpoint_list) {
       EndpointList endpoints;
       if (decode(reader, endpoints))
         hollow.incarnation = head.incarnation.value, hollow.revision = endpoints.revision;
