--- a/src/commands/operator_client.h
+++ b/src/commands/operator_client.h
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "protocol/frames.h"
+#include "protocol/ring_messages.h"
 
 namespace saddlewing {
 
--- a/src/commands/ring.cpp
+++ b/src/commands/ring.cpp
@@ -8,7 +8,7 @@
 
 #include "commands/commands.h"
 #include "commands/operator_client.h"
-#include "protocol/frames.h"
+#include "protocol/ring_messages.h"
 #include "state/hash_ring.h"
 #include "state/node_settings.h"
 
--- a/src/commands/trace.cpp
+++ b/src/commands/trace.cpp
@@ -7,7 +7,7 @@
 #include <map>
 
 #include "commands/commands.h"
-#include "protocol/frames.h"
+#include "protocol/trace_messages.h"
 #include "state/node_settings.h"
 #include "transport/frame_link.h"
 
@@ -33,7 +33,7 @@
       for (const auto& [address, client] : clients_) {
         handles.push_back(client->handle());
         if (!found_.contains(address) && now - asked_[address] >= ask_again &&
-            client->send(encode_trace({FrameKind::trace_request, {}, {}})))
+            client->send(encode_trace_request({FrameKind::trace_request, {}, {}})))
           asked_[address] = now;
       }
       wait_links(handles, waker_, std::min(ask_again, std::chrono::ceil<Duration>(until_ - now)));
--- a/src/control_client/control_plane_client.h
+++ b/src/control_client/control_plane_client.h
@@ -9,12 +9,15 @@
 #include <variant>
 #include <vector>
 
-#include "coordination/routing/edge_latency.h"
 #include "coordination/discovery/control_source_selector.h"
-#include "coordination/leases/retry_quota.h"
 #include "coordination/discovery/service_registry.h"
+#include "coordination/leases/retry_quota.h"
 #include "coordination/placement/ring_router.h"
 #include "coordination/rollout/version_rollout.h"
+#include "coordination/routing/edge_latency.h"
+#include "protocol/control_messages.h"
+#include "protocol/discovery_messages.h"
+#include "protocol/gather_messages.h"
 #include "protocol/version_trace.h"
 #include "state/configuration.h"
 #include "state/leadership_table.h"
--- a/src/coordination/discovery/backend_heartbeat.h
+++ b/src/coordination/discovery/backend_heartbeat.h
@@ -2,7 +2,7 @@
 // Reads what a backend tells of itself.
 #include <string>
 
-#include "protocol/frames.h"
+#include "protocol/discovery_messages.h"
 #include "state/error.h"
 
 namespace saddlewing {
--- a/src/coordination/discovery/control_source_selector.h
+++ b/src/coordination/discovery/control_source_selector.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "coordination/leases/term_fence.h"
-#include "protocol/frames.h"
+#include "protocol/control_messages.h"
 #include "state/types.h"
 
 namespace saddlewing {
--- a/src/coordination/discovery/service_registry.h
+++ b/src/coordination/discovery/service_registry.h
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "protocol/frames.h"
+#include "protocol/discovery_messages.h"
 #include "state/node_settings.h"
 #include "state/types.h"
 
--- a/src/coordination/raft/pending_calls.h
+++ b/src/coordination/raft/pending_calls.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "protocol/frames.h"
+#include "protocol/forwarding_messages.h"
 #include "state/types.h"
 
 namespace saddlewing {
--- a/src/coordination/routing/delegated_gather.h
+++ b/src/coordination/routing/delegated_gather.h
@@ -6,9 +6,9 @@
 // client asked.
 #include <vector>
 
-#include "coordination/routing/requester.h"
 #include "coordination/routing/record_merge.h"
-#include "protocol/frames.h"
+#include "coordination/routing/requester.h"
+#include "protocol/gather_messages.h"
 
 namespace saddlewing {
 
--- a/src/coordination/routing/load_balancer.h
+++ b/src/coordination/routing/load_balancer.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "protocol/frames.h"
+#include "protocol/discovery_messages.h"
 #include "state/configuration.h"
 #include "state/node_settings.h"
 #include "state/types.h"
--- a/src/coordination/routing/proxied_request.h
+++ b/src/coordination/routing/proxied_request.h
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
+#include "coordination/routing/record_merge.h"
 #include "coordination/routing/requester.h"
 #include "coordination/routing/retry_budget.h"
-#include "coordination/routing/record_merge.h"
-#include "protocol/frames.h"
+#include "protocol/gather_messages.h"
 
 namespace saddlewing {
 
--- a/src/protocol/cluster_status.cpp
+++ b/src/protocol/cluster_status.cpp
@@ -1,7 +1,31 @@
 #include "protocol/cluster_status.h"
 
+#include "protocol/message_fields.h"
+
 namespace saddlewing {
 
+constexpr ClusterStatus::Role last_enumerator(ClusterStatus::Role) {
+  return ClusterStatus::Role::leader;
+}
+
+template <class Archive>
+void describe_fields(Archive& archive,
+                     typename Archive::template Reference<ClusterStatus::Peer> peer) {
+  archive(peer.id, peer.address, peer.is_voter, peer.is_known, peer.is_matched);
+  archive(peer.last_contact, peer.behind);
+}
+
+template <class Archive>
+void describe_fields(Archive& archive, typename Archive::template Reference<ClusterStatus> status) {
+  archive(status.node, status.self, status.address, status.role);
+  archive(status.is_voter, status.is_removed, status.term);
+  archive(status.leader, status.leader_last_contact);
+  archive(status.has_committed, status.committed_term, status.committed);
+  archive(status.last, status.leader_last, status.version, status.core_size);
+  archive(status.is_confirmed, status.is_save_failing, status.is_save_stuck, status.saving);
+  archive(status.peers);
+}
+
 const char* name_of(ClusterStatus::Role role) {
   switch (role) {
     case ClusterStatus::Role::follower:
@@ -20,71 +44,12 @@
   return open_frame(head, FrameKind::cluster_status_request).take();
 }
 
-std::string encode(const FrameHead& head, const ClusterStatus& value) {
-  Writer writer = open_frame(head, FrameKind::cluster_status);
-  writer.text(value.node)
-      .number(value.self.value)
-      .text(value.address)
-      .number(static_cast<std::uint64_t>(value.role))
-      .number(value.is_voter)
-      .number(value.is_removed);
-  writer.number(value.term.value)
-      .text(value.leader)
-      .number(value.leader_last_contact)
-      .number(value.has_committed)
-      .number(value.committed_term.value);
-  writer.number(value.committed.value)
-      .number(value.last.value)
-      .number(value.leader_last.value)
-      .number(static_cast<std::uint64_t>(value.version.value));
-  writer.number(value.core_size)
-      .number(value.is_confirmed)
-      .number(value.is_save_failing)
-      .number(value.is_save_stuck)
-      .number(value.saving);
-  writer.number(value.peers.size());
-  for (const ClusterStatus::Peer& peer : value.peers) {
-    writer.number(peer.id.value).text(peer.address).number(peer.is_voter).number(peer.is_known);
-    writer.number(peer.is_matched).number(peer.last_contact).number(peer.behind);
-  }
-  return writer.take();
+std::string encode(const FrameHead& head, const ClusterStatus& status) {
+  return encode_frame(head, FrameKind::cluster_status, status);
 }
 
-bool decode(ByteReader& reader, ClusterStatus& value) {
-  value.node = reader.text();
-  value.self.value = reader.number();
-  value.address = reader.text();
-  const std::uint64_t role = reader.number();
-  if (role > static_cast<std::uint64_t>(ClusterStatus::Role::leader))
-    return false;
-  value.role = static_cast<ClusterStatus::Role>(role);
-  value.is_voter = reader.number();
-  value.is_removed = reader.number();
-  value.term.value = reader.number();
-  value.leader = reader.text();
-  value.leader_last_contact = reader.number();
-  value.has_committed = reader.number();
-  value.committed_term.value = reader.number();
-  value.committed.value = reader.number();
-  value.last.value = reader.number();
-  value.leader_last.value = reader.number();
-  value.version.value = static_cast<std::int64_t>(reader.number());
-  value.core_size = static_cast<std::uint32_t>(reader.number());
-  value.is_confirmed = reader.number();
-  value.is_save_failing = reader.number();
-  value.is_save_stuck = reader.number();
-  value.saving = reader.number();
-  value.peers.resize(reader.count(56));
-  for (ClusterStatus::Peer& peer : value.peers) {
-    peer.id.value = reader.number();
-    peer.address = reader.text();
-    peer.is_voter = reader.number();
-    peer.is_known = reader.number();
-    peer.is_matched = reader.number();
-    peer.last_contact = reader.number();
-    peer.behind = reader.number();
-  }
-  return reader.is_complete();
+bool decode(ByteReader& reader, ClusterStatus& status) {
+  return decode_fields(reader, status);
 }
 
 }  // namespace saddlewing
--- a/src/protocol/cluster_status.h
+++ b/src/protocol/cluster_status.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "protocol/frames.h"
+#include "protocol/frame.h"
 
 namespace saddlewing {
 
--- a/src/protocol/version_trace.h
+++ b/src/protocol/version_trace.h
@@ -2,7 +2,7 @@
 // The recent steps of versions at one node, for the tracer. Bounded: the oldest go first.
 #include <deque>
 
-#include "protocol/frames.h"
+#include "protocol/trace_messages.h"
 
 namespace saddlewing {
 
--- a/tests/coordination/raft/pending_calls_test.cpp
+++ b/tests/coordination/raft/pending_calls_test.cpp
@@ -4,6 +4,8 @@
 
 #include "coordination/raft/pending_calls.h"
 #include "coordination/raft/raft_cluster_fixture.h"
+#include "protocol/control_messages.h"
+#include "protocol/edge_messages.h"
 #include "state/node_settings.h"
 #include "transport/http_client_connection.h"
 #include "transport/http_server.h"
--- a/tests/protocol/frame_values.h
+++ b/tests/protocol/frame_values.h
@@ -4,7 +4,14 @@
 #include <tuple>
 
 #include "protocol/cluster_status.h"
+#include "protocol/control_messages.h"
+#include "protocol/discovery_messages.h"
+#include "protocol/edge_messages.h"
+#include "protocol/forwarding_messages.h"
 #include "protocol/frames.h"
+#include "protocol/gather_messages.h"
+#include "protocol/ring_messages.h"
+#include "protocol/trace_messages.h"
 
 namespace saddlewing {
 
--- a/tests/protocol/wire_format_test.cpp
+++ b/tests/protocol/wire_format_test.cpp
@@ -144,7 +144,7 @@
 }
 
 Test(wire_format, trace) {
-  expect_fixture(frame_fixture("trace_request"), encode_trace(frame_sender()));
+  expect_fixture(frame_fixture("trace_request"), encode_trace_request(frame_sender()));
   const std::string bytes = read_fixture(frame_fixture("trace_request"));
   ByteReader reader(bytes);
   FrameHead head;
--- a/tools/capacity.cpp
+++ b/tools/capacity.cpp
@@ -17,7 +17,8 @@
 #include <sstream>
 
 #include "coordination/routing/edge_latency.h"
-#include "protocol/frames.h"
+#include "protocol/control_messages.h"
+#include "protocol/discovery_messages.h"
 #include "protocol/http_calls.h"
 #include "state/compression.h"
 #include "transport/frame_link.h"
