--- a/tests/protocol/wire_format_test.cpp
+++ b/tests/protocol/wire_format_test.cpp
@@ -220,3 +220,45 @@
   }
   decode_random_bytes({}, whole, decodes);
 }
+
+namespace {
+
+// A list of one blank endpoint. `from_end`: which of its last numbers is set.
+bool is_list_accepted(std::size_t from_end, char number) {
+  std::string bytes = encode(frame_sender(), EndpointList{{}, {}, {}, {}, {}, 0, 0, {Endpoint{}}});
+  bytes[bytes.size() - from_end * 8] = number;
+  FrameHead head;
+  EndpointList list;
+  return decodes_as(bytes, head, list);
+}
+
+}  // namespace
+
+Test(wire_format, enumerators_that_do_not_exist_are_refused) {
+  constexpr std::size_t phase = 7, status = 6;
+  for (char number = 0; number < 8; ++number) {
+    cr_expect(is_list_accepted(phase, number) == (number <= 2), "phase %d", number);
+    cr_expect(is_list_accepted(status, number) == (number <= 4), "status %d", number);
+  }
+  constexpr std::size_t role = 18;  // from the end of a status without texts
+  std::string bytes = encode(frame_sender(), ClusterStatus{});
+  for (char number = 0; number < 8; ++number) {
+    bytes[bytes.size() - role * 8] = number;
+    FrameHead head;
+    ClusterStatus value;
+    cr_expect(decodes_as(bytes, head, value) == (number <= 3), "role %d", number);
+  }
+}
+
+// A count is believed only as far as the bytes could hold that many of the least items.
+Test(wire_format, counts_beyond_the_bytes_are_refused) {
+  Writer writer = open_frame(frame_sender(), FrameKind::renewed_ids);
+  writer.number(2);
+  for (int field = 0; field < 4; ++field)
+    writer.number(0);
+  const std::string bytes = writer.take();
+  FrameHead head;
+  RenewedIds renewed;
+  cr_expect(!decodes_as(bytes, head, renewed));
+  cr_expect(renewed.items.empty(), "nothing is reserved for a count that cannot be");
+}
