--- a/src/coordination/routing/edge_latency.h
+++ b/src/coordination/routing/edge_latency.h
@@ -13,6 +13,7 @@
 #include <vector>
 
 #include "coordination/rollout/version_rollout.h"
+#include "protocol/edge_messages.h"
 #include "state/node_settings.h"
 
 namespace saddlewing {
@@ -130,7 +131,7 @@
   bool take(EdgeSnapshot view, TimePoint now);
   // The least that each way ever took: from a region to a zone, in milliseconds. A leader hands it
   // to its peers, for an edge that is slow when the next one starts must not pass for far.
-  using Ways = std::map<std::pair<std::string, std::string>, double>;
+  using Ways = NetworkLatencies;
   const Ways& ways() const {
     return ways_;
   }
--- a/src/protocol/edge_messages.cpp
+++ b/src/protocol/edge_messages.cpp
@@ -5,10 +5,13 @@
 namespace saddlewing {
 
 template <class Archive>
-void describe_fields(
-    Archive& archive,
-    typename Archive::template Reference<std::pair<std::string, std::string>> texts) {
-  archive(texts.first, texts.second);
+void describe_fields(Archive& archive, typename Archive::template Reference<RegionCounts> region) {
+  archive(region.region, region.counts);
+}
+
+template <class Archive>
+void describe_fields(Archive& archive, typename Archive::template Reference<NetworkPath> path) {
+  archive(path.region, path.zone);
 }
 
 template <class Archive>
