--- a/src/protocol/cluster_status.h
+++ b/src/protocol/cluster_status.h
@@ -1,6 +1,7 @@
 #pragma once
-// What one registry knows of its core, for the operator's `saddlewing core`. Spans are milliseconds
-// before the answer.
+// What one registry knows of the Raft cluster of registries, for the operator's `saddlewing core`.
+// Durations are in milliseconds before the answer. Filled by RaftNode::status.
+// Threading: values without shared state.
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -14,18 +15,19 @@
     follower,
     pre_candidate,
     candidate,
-    leader
+    leader,
   };
-  // Of voters every node knows who they are; learners, and how a member fares, the leader alone.
+
+  // A member. Every node knows the voters; learners, and how a member fares, only the leader.
   struct Peer {
     MemberId id;
     std::string address;
-    bool is_voter = false,
-         is_known = false;    // known: `last_contact`, `is_matched` and `behind` are told
-    bool is_matched = false;  // holds the leader's last entry on disk
-    std::uint64_t last_contact = 0;
-    std::uint64_t behind =
-        0;  // entries, by the last it answered with; 0 unless it has answered in this term
+    bool is_voter = false;
+    bool is_known = false;           // the three fields below are set
+    bool is_matched = false;         // has the leader's last entry on disk
+    std::uint64_t last_contact = 0;  // milliseconds
+    // Entries that it lacks, by the last one it acknowledged; 0 unless it did so in this term.
+    std::uint64_t behind = 0;
   };
 
   std::string node;  // its name
@@ -33,30 +35,34 @@
   std::string address;
   Role role{};
   bool is_voter = false;    // by its own newest entry
-  bool is_removed = false;  // a live core told it that it is no member any more
+  bool is_removed = false;  // a live cluster told it that it is no member any more
   Term term;
-  std::string leader;                     // its address; empty: none known
-  std::uint64_t leader_last_contact = 0;  // of a follower that knows a leader
-  bool has_committed = false;             // knows in this life of something committed
+  std::string leader;                     // address; empty: none known
+  std::uint64_t leader_last_contact = 0;  // milliseconds; of a follower that knows a leader
+  bool has_committed = false;             // knows of a committed entry since it started
   Term committed_term;
-  Index committed, last,
-      leader_last;  // last: of its newest entry; leader_last: as the leader told it last
-  Version version;  // committed
+  Index committed;
+  Index last;                   // of its newest entry
+  Index leader_last;            // of the leader's newest entry, as last heard
+  Version version;              // committed
   std::uint32_t core_size = 0;  // voters wanted; 0: not agreed yet
   // A majority answered this leader, or a leader spoke to this follower, within the least election
-  // time-out. A follower may so trail the loss of the majority by the time in which its leader
-  // gives up, two such time-outs.
+  // time-out. After the loss of the majority a follower may still say so until its leader gives up,
+  // two such time-outs.
   bool is_confirmed = false;
-  bool is_save_failing = false,
-       is_save_stuck = false;  // the last save failed; one takes longer than a disk should
-  std::uint64_t saving = 0;    // since the save under way began
-  std::vector<Peer> peers;     // voters and learners, itself as well
+  bool is_save_failing = false;  // the last save failed
+  bool is_save_stuck = false;    // a save takes longer than a disk should
+  std::uint64_t saving = 0;      // milliseconds since the save under way began
+  std::vector<Peer> peers;       // voters and learners, itself as well
 };
+
+// "follower", ...: as operators see it.
 const char* name_of(ClusterStatus::Role role);
 
+// Encode: a whole frame.
 std::string encode_cluster_status_request(const FrameHead& head);
-std::string encode(const FrameHead& head, const ClusterStatus& value);
-// False: cut short, too long, or a role that there is not.
-bool decode(ByteReader& reader, ClusterStatus& value);
+std::string encode(const FrameHead& head, const ClusterStatus& status);
+// Reads what follows the head. False: cut short, too long, or a role that does not exist.
+bool decode(ByteReader& reader, ClusterStatus& status);
 
 }  // namespace saddlewing
--- a/src/protocol/version_trace.h
+++ b/src/protocol/version_trace.h
@@ -1,6 +1,9 @@
 #pragma once
-// The recent steps of versions at one node, for the tracer. Bounded: the oldest go first.
+// The recent events in the life of configuration versions at one node, for `saddlewing trace`.
+// Bounded: the oldest events are dropped first. Threading: owned and used by one thread.
+#include <cstddef>
 #include <deque>
+#include <vector>
 
 #include "protocol/trace_messages.h"
 
@@ -8,29 +11,33 @@
 
 class VersionTrace {
  public:
-  explicit VersionTrace(std::size_t limit) : max_(limit) {
+  // Keeps at most `limit` events.
+  explicit VersionTrace(std::size_t limit) : limit_(limit) {
   }
+  // `what` must outlive the trace: a literal.
   void record(Version version, const char* what, TimePoint now) {
-    steps_.push_back({version, what, now});
-    if (steps_.size() > max_)
-      steps_.pop_front();
+    events_.push_back({version, what, now});
+    if (events_.size() > limit_)
+      events_.pop_front();
   }
+  // Oldest first, each with its age at `now`.
   std::vector<VersionEvent> events(TimePoint now) const {
-    std::vector<VersionEvent> told;
-    for (const Stamped& step : steps_)
-      told.push_back(
-          {step.version, step.what, static_cast<std::uint64_t>(elapsed(step.when, now).count())});
-    return told;
+    std::vector<VersionEvent> aged;
+    for (const RecordedEvent& event : events_) {
+      const Duration age = elapsed(event.time, now);
+      aged.push_back({event.version, event.what, static_cast<std::uint64_t>(age.count())});
+    }
+    return aged;
   }
 
  private:
-  struct Stamped {
+  struct RecordedEvent {
     Version version;
     const char* what;
-    TimePoint when;
+    TimePoint time;
   };
-  std::size_t max_;
-  std::deque<Stamped> steps_;
+  std::size_t limit_;
+  std::deque<RecordedEvent> events_;
 };
 
 }  // namespace saddlewing
