--- a/src/broker/backend_connection.cpp
+++ b/src/broker/backend_connection.cpp
@@ -6,7 +6,7 @@
 #include <cstdlib>
 
 #include "broker/broker_loop.h"
-#include "protocol/http_calls.h"
+#include "transport/header_names.h"
 
 namespace saddlewing {
 namespace {
--- a/src/broker/broker_loop.cpp
+++ b/src/broker/broker_loop.cpp
@@ -7,6 +7,7 @@
 #include <sstream>
 
 #include "protocol/http_calls.h"
+#include "transport/header_names.h"
 
 namespace saddlewing {
 namespace {
--- a/src/protocol/database_protocol.cpp
+++ b/src/protocol/database_protocol.cpp
@@ -6,7 +6,7 @@
 namespace saddlewing {
 namespace {
 
-constexpr std::pair<StatementError, std::string_view> verdicts[] = {
+constexpr std::pair<StatementError, std::string_view> statement_error_names[] = {
     {StatementError::busy, "BUSY"},
     {StatementError::rolled_back, "UNDONE"},
     {StatementError::lagging, "LAGGING"},
@@ -22,8 +22,6 @@
     {StatementError::unknown, "UNKNOWN"},
 };
 
-constexpr std::size_t max_fields = 16;
-
 // Takes the word before the next space off the text.
 std::string take_word(std::string_view& text) {
   const auto space = text.find(' ');
@@ -39,71 +37,20 @@
 
 }  // namespace
 
-const std::string& DatabaseMessage::field(std::size_t position) const {
-  static const std::string none;
-  return position < fields.size() ? fields[position] : none;
-}
-
-std::string_view name_of(StatementError verdict) {
-  for (const auto& [value, name] : verdicts)
-    if (value == verdict)
+std::string_view name_of(StatementError error) {
+  for (const auto& [value, name] : statement_error_names)
+    if (value == error)
       return name;
   return "";
 }
 
 StatementError statement_error_of(std::string_view name) {
-  for (const auto& [value, text] : verdicts)
+  for (const auto& [value, text] : statement_error_names)
     if (text == name)
       return value;
   return StatementError::unknown;
 }
 
-std::string encode_database_message(DatabaseMessageKind kind,
-                                    std::initializer_list<std::string_view> fields) {
-  std::size_t size = 0;
-  for (const auto field : fields)
-    size += field.size() + 1;
-  std::string bytes;
-  bytes.reserve(size + 5);
-  bytes += static_cast<char>(kind);
-  for (int shift = 24; shift >= 0; shift -= 8)
-    bytes += static_cast<char>(size >> shift);
-  for (const auto field : fields)
-    (bytes += field) += '\0';
-  return bytes;
-}
-
-DatabaseReadResult read_database_message(std::string& bytes, DatabaseMessage& message) {
-  if (bytes.empty())
-    return DatabaseReadResult::incomplete;
-  constexpr std::string_view kinds = "SQXZDCE";
-  if (kinds.find(bytes[0]) == std::string_view::npos)
-    return DatabaseReadResult::malformed;
-  if (bytes.size() < 5)
-    return DatabaseReadResult::incomplete;
-  std::size_t size = 0;
-  for (int position = 1; position < 5; ++position)
-    size = size << 8 | static_cast<unsigned char>(bytes[position]);
-  if (size > max_database_message_bytes)
-    return DatabaseReadResult::too_long;
-  if (bytes.size() < size + 5)
-    return DatabaseReadResult::incomplete;
-  if (size && bytes[size + 4] != '\0')
-    return DatabaseReadResult::malformed;
-  message.kind = static_cast<DatabaseMessageKind>(bytes[0]);
-  message.fields.clear();
-  std::string_view rest = std::string_view(bytes).substr(5, size);
-  while (!rest.empty()) {
-    if (message.fields.size() >= max_fields)
-      return DatabaseReadResult::malformed;
-    const auto end = rest.find('\0');
-    message.fields.emplace_back(rest.substr(0, end));
-    rest.remove_prefix(end + 1);
-  }
-  bytes.erase(0, size + 5);
-  return DatabaseReadResult::complete;
-}
-
 Statement read_statement(const std::string& text) {
   std::string_view rest = text;
   const std::string verb = take_word(rest);
--- a/src/protocol/database_protocol.h
+++ b/src/protocol/database_protocol.h
@@ -1,112 +1,93 @@
 #pragma once
-// The wire of database sessions, for clients and backends alike: a kind, the length of what follows
-// in four bytes (great end first), and text fields, each with a zero behind it.
+// What the messages of database sessions say: errors, statements, positions in a database's log and
+// a database's status. How the messages travel is in transport/database_message.h.
+// Threading: free functions and values without shared state.
+#include <compare>
 #include <cstdint>
 #include <string>
 #include <string_view>
-#include <vector>
 
-namespace saddlewing {
-
-enum class DatabaseMessageKind : char {
-  connect = 'S',
-  query = 'Q',
-  terminate = 'X',
-  ready = 'Z',
-  row = 'D',
-  complete = 'C',
-  error = 'E'
-};
+#include "transport/database_message.h"
 
-struct DatabaseMessage {
-  DatabaseMessageKind kind{};
-  std::vector<std::string> fields;
-  const std::string& field(std::size_t position) const;
-};
+namespace saddlewing {
 
-// What is told of a try that did not succeed. Promises come first: nothing of the try is kept.
+// Why an attempt at a statement did not succeed.
 enum class StatementError {
-  none,
-  busy,
-  rolled_back,
-  lagging,
-  readonly,
-  wrong_host,
-  full,
-  no_such_statement,
-  no_database,
-  too_long,
-  malformed,
-  failed,
+  none,               // it succeeded
+  busy,               // not run: too much to do; may be tried again
+  rolled_back,        // the transaction is undone; nothing of it is kept
+  lagging,            // not run: the replica is behind the position that was asked for
+  readonly,           // not run: a write sent to a replica
+  wrong_host,         // not run: meant for another host
+  full,               // not run: no room for it
+  no_such_statement,  // not run: no prepared statement of that name
+  no_database,        // no database of that name
+  too_long,           // the message, or more values or names than a session may have
+  malformed,          // not in the protocol, or not allowed now
+  failed,             // the statement itself
   timeout,
-  unknown
+  unknown,  // it may have run or not
 };
-std::string_view name_of(StatementError verdict);
-StatementError statement_error_of(std::string_view name);  // `unknown` for what is not known
-// A backend that says so did not run the statement.
-constexpr bool is_not_run(StatementError verdict) {
-  return verdict == StatementError::busy || verdict == StatementError::lagging ||
-         verdict == StatementError::readonly || verdict == StatementError::wrong_host ||
-         verdict == StatementError::full || verdict == StatementError::no_such_statement;
-}
 
-inline constexpr std::size_t max_database_message_bytes = 1 << 20;
-
-std::string encode_database_message(DatabaseMessageKind kind,
-                                    std::initializer_list<std::string_view> fields);
-inline std::string encode_query(std::string_view id, std::string_view text) {
-  return encode_database_message(DatabaseMessageKind::query, {id, text});
+// "BUSY", "UNDONE", ...: as it travels; empty for `none`.
+std::string_view name_of(StatementError error);
+// `unknown` for a name that does not exist.
+StatementError statement_error_of(std::string_view name);
+// A database that answers so did not run the statement.
+constexpr bool is_not_run(StatementError error) {
+  return error == StatementError::busy || error == StatementError::lagging ||
+         error == StatementError::readonly || error == StatementError::wrong_host ||
+         error == StatementError::full || error == StatementError::no_such_statement;
 }
 
-// Takes one message off the front of the bytes.
-enum class DatabaseReadResult {
-  incomplete,
-  complete,
-  too_long,
-  malformed
-};
-DatabaseReadResult read_database_message(std::string& bytes, DatabaseMessage& message);
-
-// A statement as a client writes it.
+// The first word of a statement, with its word on the wire.
 enum class StatementVerb {
-  begin,
-  begin_read_only,
-  commit,
-  rollback,
-  read,
-  write,
-  set,
-  prepare,
-  execute,
-  deallocate,
-  none
+  begin,            // BEGIN
+  begin_read_only,  // BEGIN READ
+  commit,           // SAVE
+  rollback,         // UNDO
+  read,             // READ ...
+  write,            // WRITE ...
+  set,              // SET name value
+  prepare,          // NAME name READ|WRITE shape
+  execute,          // RUN name data
+  deallocate,       // FORGET name
+  none,             // anything else
 };
+
 struct Statement {
   StatementVerb verb = StatementVerb::none;
-  std::string first, second,
-      rest;  // SET: name, value; NAME: name, READ or WRITE, shape; RUN: name, -, thing and data
+  std::string first;   // set, prepare, execute, deallocate: the name
+  std::string second;  // set: the value; prepare: READ or WRITE
+  std::string rest;    // prepare: the shape; execute: the data
 };
+// The verb is `none` for what is not understood.
 Statement read_statement(const std::string& text);
 
-// A place in a database's log. Invariant: greater is later, within one history.
+// A position in a database's log. Invariant: greater is later, within one history.
 struct LogPosition {
-  std::uint64_t term = 0, number = 0;
+  std::uint64_t term = 0;
+  std::uint64_t number = 0;
   auto operator<=>(const LogPosition&) const = default;
   bool is_known() const {
     return term > 0;
   }
+  // "term.number": as it travels.
   std::string text() const {
     return std::to_string(term) + "." + std::to_string(number);
   }
 };
+// False, and `position` unchanged, unless the text is two decimal numbers with a dot between.
 bool read_log_position(std::string_view text, LogPosition& position);
 
-// A backend's row of STATUS: role, term, place received, term held, lag, busy, connections.
+// What a database answers to STATUS.
 struct DatabaseStatus {
   bool is_leader = false;
   std::uint64_t term = 0;
-  LogPosition position;
+  LogPosition position;  // received
 };
+// Reads a row of words: role, term, position received, and others that are not looked at. False
+// unless the first three are well formed.
 bool read_database_status(const std::string& row, DatabaseStatus& status);
 
 }  // namespace saddlewing
--- a/src/protocol/http_calls.h
+++ b/src/protocol/http_calls.h
@@ -1,5 +1,6 @@
 #pragma once
-// Every call of operators, of the system to the platform and to backends, in one table.
+// Every HTTP call of operators, and of the system to the platform and to backends, in one table.
+// The names of header fields are in transport/header_names.h. Threading: constants.
 #include <string_view>
 
 namespace saddlewing {
@@ -32,6 +33,7 @@
     {HttpCall::move_step, "POST", "/ring/moves"},  // of this project, to nodes of the ring
 };
 
+// The method and path of a call.
 constexpr const HttpCallRow& row_of(HttpCall call) {
   for (const HttpCallRow& row : http_calls)
     if (row.call == call)
@@ -39,24 +41,4 @@
   return http_calls[0];
 }
 
-// Names of header fields that both sides agree on.
-namespace header_name {
-inline constexpr const char* try_id = "Try-Id";
-inline constexpr const char* time_left = "Time-Left";
-inline constexpr const char* target_server = "Meant-Server";
-inline constexpr const char* server_id = "Server-Id";
-inline constexpr const char* server_load = "Server-Load";
-inline constexpr const char* not_run = "Not-Run";
-inline constexpr const char* answer_checksum = "Answer-Seal";
-inline constexpr const char* part_checksums = "Part-Seals";
-inline constexpr const char* duty_owner = "Duty-Owner";
-inline constexpr const char* owner_number = "Owner-Number";
-inline constexpr const char* ring_revision =
-    "Ring-Mark";  // to nodes of the ring: the sheet that the request goes by
-inline constexpr const char* ring_show =
-    "Ring-Show";  // of the unit on the move there: it is part of this answer,
-inline constexpr const char* ring_hide = "Ring-Hide";  // or not
-inline constexpr const char* parts_missing = "Parts-Missing";
-}  // namespace header_name
-
 }  // namespace saddlewing
--- a/src/registry/backend_monitor.cpp
+++ b/src/registry/backend_monitor.cpp
@@ -6,6 +6,7 @@
 #include <algorithm>
 
 #include "protocol/http_calls.h"
+#include "transport/header_names.h"
 
 namespace saddlewing {
 namespace {
--- a/src/transport/database_transport.h
+++ b/src/transport/database_transport.h
@@ -3,7 +3,7 @@
 #include <functional>
 #include <string>
 
-#include "protocol/database_protocol.h"
+#include "transport/database_message.h"
 #include "transport/tcp_connection.h"
 
 namespace saddlewing {
--- a/src/transport/http_client_connection.cpp
+++ b/src/transport/http_client_connection.cpp
@@ -1,6 +1,6 @@
 #include "transport/http_client_connection.h"
 
-#include "protocol/http_calls.h"
+#include "transport/header_names.h"
 
 namespace saddlewing {
 
--- a/tests/protocol/http_client_format_test.cpp
+++ b/tests/protocol/http_client_format_test.cpp
@@ -6,6 +6,7 @@
 #include "protocol/http_format_fixture.h"
 #include "registry/backend_monitor.h"
 #include "registry/command_dispatcher.h"
+#include "transport/header_names.h"
 
 using namespace saddlewing;
 using namespace saddlewing::tests;
--- a/tools/capacity.cpp
+++ b/tools/capacity.cpp
@@ -22,6 +22,7 @@
 #include "protocol/http_calls.h"
 #include "state/compression.h"
 #include "transport/frame_link.h"
+#include "transport/header_names.h"
 #include "transport/http_client_connection.h"
 #include "transport/http_server.h"
 
--- a/tools/checks/check_includes.py
+++ b/tools/checks/check_includes.py
@@ -24,16 +24,7 @@
 
 # Known upward includes: (including file, included file): reason. One that no longer occurs is an
 # error.
-KNOWN_UPWARD = {
-    (
-        "src/transport/http_client_connection.cpp",
-        "src/protocol/http_calls.h",
-    ): "the HTTP client reads the names of headers, which belong where both layers may look",
-    (
-        "src/transport/database_transport.h",
-        "src/protocol/database_protocol.h",
-    ): "the link carries the database session's messages; it belongs above the protocol",
-}
+KNOWN_UPWARD = {}
 
 SOURCE_FOLDERS = ("src", "tests", "tools")
 INCLUDE = re.compile(r'^\s*#\s*include\s*(?P<open>["<])(?P<name>[^">]+)[">]', re.MULTILINE)
