--- a/src/protocol/database_protocol.cpp
+++ b/src/protocol/database_protocol.cpp
@@ -35,6 +35,31 @@
   return error == std::errc{} && end == text.data() + text.size();
 }
 
+StatementVerb verb_if(bool is_proper, StatementVerb verb) {
+  return is_proper ? verb : StatementVerb::none;
+}
+
+// A statement whose first argument is a name.
+void read_named(std::string_view word, std::string_view rest, Statement& statement) {
+  statement.first = take_word(rest);
+  if (statement.first.empty())
+    return;
+  if (word == "FORGET") {
+    statement.verb = verb_if(rest.empty(), StatementVerb::deallocate);
+  } else if (word == "SET") {
+    statement.verb = StatementVerb::set;
+    statement.second = rest;
+  } else if (word == "RUN") {
+    statement.verb = verb_if(!rest.empty(), StatementVerb::execute);
+    statement.rest = rest;
+  } else {
+    statement.second = take_word(rest);
+    statement.rest = rest;
+    const bool is_access = statement.second == "READ" || statement.second == "WRITE";
+    statement.verb = verb_if(is_access && !rest.empty(), StatementVerb::prepare);
+  }
+}
+
 }  // namespace
 
 std::string_view name_of(StatementError error) {
@@ -53,42 +78,22 @@
 
 Statement read_statement(const std::string& text) {
   std::string_view rest = text;
-  const std::string verb = take_word(rest);
+  const std::string word = take_word(rest);
   Statement statement;
-  const auto is = [&](std::string_view name) {
-    return verb == name;
-  };
-  if (is("BEGIN"))
-    statement.verb = rest.empty()     ? StatementVerb::begin
-                     : rest == "READ" ? StatementVerb::begin_read_only
-                                      : StatementVerb::none;
-  else if (is("SAVE"))
-    statement.verb = rest.empty() ? StatementVerb::commit : StatementVerb::none;
-  else if (is("UNDO"))
-    statement.verb = rest.empty() ? StatementVerb::rollback : StatementVerb::none;
-  else if (is("READ"))
-    statement.verb = rest.empty() ? StatementVerb::none : StatementVerb::read;
-  else if (is("WRITE"))
-    statement.verb = rest.empty() ? StatementVerb::none : StatementVerb::write;
-  else if (is("SET") || is("NAME") || is("RUN") || is("FORGET")) {
-    statement.first = take_word(rest);
-    if (statement.first.empty())
-      return statement;
-    if (is("FORGET"))
-      statement.verb = rest.empty() ? StatementVerb::deallocate : StatementVerb::none;
-    if (is("SET"))
-      statement.verb = StatementVerb::set, statement.second = rest;
-    if (is("RUN"))
-      statement.verb = rest.empty() ? StatementVerb::none : StatementVerb::execute,
-      statement.rest = rest;
-    if (is("NAME")) {
-      statement.second = take_word(rest);
-      statement.rest = rest;
-      const bool is_proper =
-          (statement.second == "READ" || statement.second == "WRITE") && !rest.empty();
-      statement.verb = is_proper ? StatementVerb::prepare : StatementVerb::none;
-    }
-  }
+  if (word == "BEGIN" && rest == "READ")
+    statement.verb = StatementVerb::begin_read_only;
+  else if (word == "BEGIN")
+    statement.verb = verb_if(rest.empty(), StatementVerb::begin);
+  else if (word == "SAVE")
+    statement.verb = verb_if(rest.empty(), StatementVerb::commit);
+  else if (word == "UNDO")
+    statement.verb = verb_if(rest.empty(), StatementVerb::rollback);
+  else if (word == "READ")
+    statement.verb = verb_if(!rest.empty(), StatementVerb::read);
+  else if (word == "WRITE")
+    statement.verb = verb_if(!rest.empty(), StatementVerb::write);
+  else if (word == "SET" || word == "NAME" || word == "RUN" || word == "FORGET")
+    read_named(word, rest, statement);
   return statement;
 }
 
@@ -104,7 +109,9 @@
 
 bool read_database_status(const std::string& row, DatabaseStatus& status) {
   std::string_view rest = row;
-  const std::string role = take_word(rest), term = take_word(rest), position = take_word(rest);
+  const std::string role = take_word(rest);
+  const std::string term = take_word(rest);
+  const std::string position = take_word(rest);
   if (role != "leader" && role != "copy")
     return false;
   status.is_leader = role == "leader";
