--- a/tests/protocol/wire_format_test.cpp
+++ b/tests/protocol/wire_format_test.cpp
@@ -235,7 +235,8 @@
 }  // namespace
 
 Test(wire_format, enumerators_that_do_not_exist_are_refused) {
-  constexpr std::size_t phase = 7, status = 6;
+  constexpr std::size_t phase = 7;
+  constexpr std::size_t status = 6;
   for (char number = 0; number < 8; ++number) {
     cr_expect(is_list_accepted(phase, number) == (number <= 2), "phase %d", number);
     cr_expect(is_list_accepted(status, number) == (number <= 4), "status %d", number);
