--- a/src/protocol/http_calls.h
+++ b/src/protocol/http_calls.h
@@ -6,16 +6,16 @@
 namespace saddlewing {
 
 enum class HttpCall {
-  put_settings,
-  get_settings,
-  readiness,
-  list_backends,
-  probe_backend,
-  metrics,
-  heartbeat,
-  deregister,
-  promote,
-  move_step
+  put_settings,   // operator to a registry: a new configuration
+  get_settings,   // operator to a registry: the committed configuration
+  readiness,      // platform to a broker or pooler
+  list_backends,  // registry to the platform
+  probe_backend,  // registry to a backend, at the path that its service names
+  metrics,        // operator to any node
+  heartbeat,      // backend to a registry: renews its lease
+  deregister,     // backend to a registry: it leaves
+  promote,        // registry to the platform: make a database the leader
+  move_step,      // registry to a node of the ring: a step of a migration
 };
 
 struct HttpCallRow {
