--- a/tests/registry/discovery_service_test.cpp
+++ b/tests/registry/discovery_service_test.cpp
@@ -181,46 +181,47 @@
   cr_expect(lists.size() == 1 && !lists[0].wants_full_list);
 }
 
-Test(endpoint_publisher, a_change_goes_once_to_each_broker_that_wants_it) {
-  Fixture fixture;
-  fixture.context.lead(Term{2}, TimePoint::max());
-  fixture.service.tick(start);
-  BrokerDirectory brokers(IncarnationId{11});
+// The publisher of a leader's registry, with the directory of brokers that it publishes to.
+struct PublisherFixture : Fixture {
+  PublisherFixture() {
+    context.lead(Term{2}, TimePoint::max());
+    service.tick(start);
+    request.wants_endpoints = true;
+  }
+
+  BrokerDirectory brokers{IncarnationId{11}};
   RecordingReplySender sender;
-  EndpointPublisher publisher(fixture.context, fixture.service.registry(), brokers, sender);
-  SubscribeRequest request;
-  request.wants_endpoints = true;
-  const auto& fed = brokers.subscribe("r1", {FrameKind::subscribe, {}, "b1"}, request, start);
-  publisher.send_empty_list(fed, start);
-  cr_expect(sender.sent.size() == 1, "it is told that there is nothing yet");
-  brokers.subscribe("r2", {FrameKind::subscribe, {}, "b2"}, {}, start);
+  EndpointPublisher publisher{context, service.registry(), brokers, sender};
+  SubscribeRequest request;  // of a broker that wants endpoints
+};
+
+Test(endpoint_publisher, a_change_goes_once_to_each_broker_that_wants_it) {
+  PublisherFixture fixture;
+  const auto& fed =
+      fixture.brokers.subscribe("r1", {FrameKind::subscribe, {}, "b1"}, fixture.request, start);
+  fixture.publisher.send_empty_list(fed, start);
+  cr_expect(fixture.sender.sent.size() == 1, "it is told that there is nothing yet");
+  fixture.brokers.subscribe("r2", {FrameKind::subscribe, {}, "b2"}, {}, start);
   fixture.service.handle_listing({backend("i-1")}, start);
-  publisher.tick(start);
-  publisher.tick(start + 1ms);
-  cr_assert(sender.sent.size() == 2);
-  cr_expect(sender.sent[1].first == "r1");
-  cr_expect(decode_body<EndpointList>(sender.sent[1].second).entries.size() == 1);
+  fixture.publisher.tick(start);
+  fixture.publisher.tick(start + 1ms);
+  cr_assert(fixture.sender.sent.size() == 2);
+  cr_expect(fixture.sender.sent[1].first == "r1");
+  cr_expect(decode_body<EndpointList>(fixture.sender.sent[1].second).entries.size() == 1);
 }
 
 Test(endpoint_publisher, what_a_broker_could_not_take_is_sent_again) {
-  Fixture fixture;
-  fixture.context.lead(Term{2}, TimePoint::max());
-  fixture.service.tick(start);
-  BrokerDirectory brokers(IncarnationId{11});
-  RecordingReplySender sender;
-  EndpointPublisher publisher(fixture.context, fixture.service.registry(), brokers, sender);
-  SubscribeRequest request;
-  request.wants_endpoints = true;
-  brokers.subscribe("r1", {FrameKind::subscribe, {}, "b1"}, request, start);
+  PublisherFixture fixture;
+  fixture.brokers.subscribe("r1", {FrameKind::subscribe, {}, "b1"}, fixture.request, start);
   fixture.service.handle_listing({backend("i-1")}, start);
-  sender.is_blocked = true;
-  publisher.tick(start);
-  sender.is_blocked = false;
-  publisher.tick(start + 1ms);
-  cr_expect(sender.sent.size() == 1);
+  fixture.sender.is_blocked = true;
+  fixture.publisher.tick(start);
+  fixture.sender.is_blocked = false;
+  fixture.publisher.tick(start + 1ms);
+  cr_expect(fixture.sender.sent.size() == 1);
   // The subscription says that the broker holds nothing: the change was lost on its way.
-  publisher.handle_subscription(
-      brokers.subscribe("r1", {FrameKind::subscribe, {}, "b1"}, request, start + 1s));
-  publisher.tick(start + 1s);
-  cr_expect(sender.sent.size() == 2);
+  fixture.publisher.handle_subscription(fixture.brokers.subscribe(
+      "r1", {FrameKind::subscribe, {}, "b1"}, fixture.request, start + 1s));
+  fixture.publisher.tick(start + 1s);
+  cr_expect(fixture.sender.sent.size() == 2);
 }
